--- a/src/edge/platform.h
+++ b/src/edge/platform.h
@@ -25,8 +25,8 @@
                                Millis Wait);
 
 private:
-  HttpCaller Reader;
-  HttpCaller Writer;
+  HttpClient Reader;
+  HttpClient Writer;
 };
 
 /// The list over HTTP: GET /vms?data_centre=X&since=V, answer {"version",
@@ -38,7 +38,7 @@
   absl::StatusOr<VmPage> list(const DataCentreId &Centre, std::uint64_t Since);
 
 private:
-  HttpCaller Caller;
+  HttpClient Caller;
 };
 
 static_assert(LogService<HttpLog>);
--- a/src/edge/target.cpp
+++ b/src/edge/target.cpp
@@ -141,7 +141,7 @@
 
 void HttpEngine::cancel(const VmAddress &At, const RequestId &Request) {
   Metrics Unused;
-  HttpCaller Caller({At.Host, At.Port}, this->Config.ConnectTimeout, Unused,
+  HttpClient Caller({At.Host, At.Port}, this->Config.ConnectTimeout, Unused,
                     TargetBytes);
   Poco::JSON::Object Body;
   Body.set("request", Request.Text);
@@ -150,13 +150,13 @@
   Caller.call(Call, CancelTimeout).status().IgnoreError();
 }
 
-std::shared_ptr<HttpCaller> HttpEngineControl::callerFor(const VmAddress &At) {
+std::shared_ptr<HttpClient> HttpEngineControl::callerFor(const VmAddress &At) {
   std::lock_guard Lock(this->Mutex);
   if (this->Callers.size() > MaxCallers)
     this->Callers.clear();
   auto &Row = this->Callers[At.text()];
   if (!Row)
-    Row = std::make_shared<HttpCaller>(Endpoint{At.Host, At.Port},
+    Row = std::make_shared<HttpClient>(Endpoint{At.Host, At.Port},
                                        this->Config.ConnectTimeout,
                                        this->Counters, HealthBytes);
   return Row;
@@ -203,7 +203,7 @@
 }
 
 AttemptEnd HttpPlain::call(const PlainCall &Call, HttpReply &Reply) {
-  HttpCaller Caller({Call.Address.Host, Call.Address.Port},
+  HttpClient Caller({Call.Address.Host, Call.Address.Port},
                     this->Config.ConnectTimeout, this->Counters, TargetBytes);
   HttpCall Http = Call.Http;
   Http.Headers.push_back({"X-Request-Id", Call.Request.Text});
--- a/src/edge/target.h
+++ b/src/edge/target.h
@@ -90,12 +90,12 @@
   absl::StatusOr<MemberReport> report(const VmAddress &At);
 
 private:
-  std::shared_ptr<HttpCaller> callerFor(const VmAddress &At);
+  std::shared_ptr<HttpClient> callerFor(const VmAddress &At);
 
   const Settings &Config;
   Metrics &Counters;
   std::mutex Mutex;
-  std::unordered_map<std::string, std::shared_ptr<HttpCaller>> Callers;
+  std::unordered_map<std::string, std::shared_ptr<HttpClient>> Callers;
 };
 
 /// One call to a plain service.
--- a/src/entry/caller_answer.cpp
+++ b/src/entry/caller_response.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "entry/caller_answer.h"
+#include "entry/caller_response.h"
 
 #include <array>
 #include <charconv>
@@ -10,49 +10,49 @@
 
 namespace waycove {
 
-IoEnd CallerAnswer::note(IoEnd End) {
-  this->Failed = this->Failed || End != IoEnd::Ok;
+IoStatus CallerResponse::recordStatus(IoStatus End) {
+  this->Failed = this->Failed || End != IoStatus::Ok;
   return End;
 }
 
-IoEnd CallerAnswer::sendHead(Poco::Net::HTTPResponse &Head,
-                             const std::string &Body, TimePoint Until) {
+IoStatus CallerResponse::sendHead(Poco::Net::HTTPResponse &Head,
+                                  const std::string &Body, TimePoint Until) {
   this->Begun = true;
   Head.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
   if (!this->KeepAlive)
     Head.set("Connection", "close");
   std::ostringstream Out;
   Head.write(Out);
-  return this->note(this->Caller.send(Out.str() + Body, Until));
+  return this->recordStatus(this->Caller.send(Out.str() + Body, Until));
 }
 
-IoEnd CallerAnswer::whole(Poco::Net::HTTPResponse Head, const std::string &Body,
-                          TimePoint Until) {
+IoStatus CallerResponse::sendWhole(Poco::Net::HTTPResponse Head,
+                               const std::string &Body, TimePoint Until) {
   if (Head.getStatus() != 204 && Head.getStatus() != 304)
     Head.setContentLength64(static_cast<Poco::Int64>(Body.size()));
   return this->sendHead(Head, this->HasBody ? Body : "", Until);
 }
 
-IoEnd CallerAnswer::begin(Poco::Net::HTTPResponse Head, TimePoint Until) {
+IoStatus CallerResponse::beginStream(Poco::Net::HTTPResponse Head, TimePoint Until) {
   Head.setChunkedTransferEncoding(true);
   return this->sendHead(Head, "", Until);
 }
 
-IoEnd CallerAnswer::part(std::string_view Bytes, TimePoint Until) {
+IoStatus CallerResponse::sendChunk(std::string_view Bytes, TimePoint Until) {
   if (Bytes.empty())
-    return IoEnd::Ok;
+    return IoStatus::Ok;
   std::array<char, 20> Size{};
   auto [End, Error] =
       std::to_chars(Size.data(), Size.data() + Size.size(), Bytes.size(), 16);
   std::string Chunk(Size.data(), End);
   Chunk.append("\r\n").append(Bytes).append("\r\n");
-  return this->note(this->Caller.send(Chunk, Until));
+  return this->recordStatus(this->Caller.send(Chunk, Until));
 }
 
-IoEnd CallerAnswer::end(TimePoint Until) {
-  return this->note(this->Caller.send("0\r\n\r\n", Until));
+IoStatus CallerResponse::endStream(TimePoint Until) {
+  return this->recordStatus(this->Caller.send("0\r\n\r\n", Until));
 }
 
-void CallerAnswer::cut() { this->Failed = true; }
+void CallerResponse::abort() { this->Failed = true; }
 
 } // namespace waycove
--- a/src/entry/caller_answer.h
+++ b/src/entry/caller_response.h
@@ -11,30 +11,30 @@
 
 /// Writes one answer to a caller's connection. An answer that is cut never
 /// looks whole: it lacks its last chunk or part of its length.
-class CallerAnswer {
+class CallerResponse {
 public:
-  CallerAnswer(Channel &Caller, bool KeepAlive, bool HasBody)
+  CallerResponse(Channel &Caller, bool KeepAlive, bool HasBody)
       : Caller(Caller), KeepAlive(KeepAlive), HasBody(HasBody) {}
 
   /// Sends a whole answer. \p Head holds status and end-to-end fields.
-  IoEnd whole(Poco::Net::HTTPResponse Head, const std::string &Body,
-              TimePoint Until);
+  IoStatus sendWhole(Poco::Net::HTTPResponse Head, const std::string &Body,
+                 TimePoint Until);
   /// Begins an answer whose length is not known.
-  IoEnd begin(Poco::Net::HTTPResponse Head, TimePoint Until);
-  IoEnd part(std::string_view Bytes, TimePoint Until);
-  IoEnd end(TimePoint Until);
+  IoStatus beginStream(Poco::Net::HTTPResponse Head, TimePoint Until);
+  IoStatus sendChunk(std::string_view Bytes, TimePoint Until);
+  IoStatus endStream(TimePoint Until);
   /// Gives the answer up: the connection has to be closed without more. What
   /// was sent already still reaches the caller, who sees that the end lacks.
-  void cut();
+  void abort();
 
-  bool hasBegun() const { return this->Begun; }
+  bool hasStarted() const { return this->Begun; }
   /// Whether another request may follow on the connection.
-  bool keepsAlive() const { return this->KeepAlive && !this->Failed; }
+  bool mayReuseConnection() const { return this->KeepAlive && !this->Failed; }
 
 private:
-  IoEnd sendHead(Poco::Net::HTTPResponse &Head, const std::string &Body,
-                 TimePoint Until);
-  IoEnd note(IoEnd End);
+  IoStatus sendHead(Poco::Net::HTTPResponse &Head, const std::string &Body,
+                    TimePoint Until);
+  IoStatus recordStatus(IoStatus End);
 
   Channel &Caller;
   bool KeepAlive;
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -20,8 +20,8 @@
 /// hides whether a body was read to its end and when a caller leaves.
 template <CallerProtocol Protocol> class CallerServer {
 public:
-  CallerServer(EntryBoard &Board, Relay<Protocol> &Relayed)
-      : Board(Board), Relayed(Relayed),
+  CallerServer(EntryBoard &Board, Relay<Protocol> &RequestRelay)
+      : Board(Board), RequestRelay(RequestRelay),
         Threads("callers", 1, static_cast<int>(Board.Config.MaxStreams),
                 IdleThreadSeconds, StackBytes) {}
 
@@ -114,24 +114,25 @@
   /// Reads and serves one request; false where the connection ends.
   bool serveOne(Channel &Caller) {
     CallerLimits Limits = this->limits();
-    if (Caller.buffer().empty() && !this->rest(Caller, Limits.IdleTime))
+    if (Caller.buffer().empty() &&
+        !this->waitForRequest(Caller, Limits.IdleTime))
       return false;
     RelayRequest Request;
-    Request.Arrived = SystemClock{}.now();
-    TimePoint Until = Request.Arrived + Limits.HeaderTime;
+    Request.ArrivedAt = SystemClock{}.now();
+    TimePoint Until = Request.ArrivedAt + Limits.HeaderTime;
     if (!this->readHead(Caller, Limits, Until, Request.Head))
       return false;
     auto Body = requestBody(Request.Head);
     if (!Body)
       return this->refuse(Caller, 400, "the body's end is ambiguous");
-    Request.Facts = Protocol::readCaller(Request.Head);
-    Request.Random = mixHash(hashText(Request.Facts.Id.Text), Seed);
+    Request.Info = Protocol::readRequestInfo(Request.Head);
+    Request.Random = mixHash(hashText(Request.Info.Id.Text), Seed);
     if (Request.Head.getExpectContinue() &&
-        Caller.send("HTTP/1.1 100 Continue\r\n\r\n", Until) != IoEnd::Ok)
+        Caller.send("HTTP/1.1 100 Continue\r\n\r\n", Until) != IoStatus::Ok)
       return false;
     if (!this->readBody(Caller, *Body, Limits, Request.Body))
       return false;
-    return this->Relayed.serve(Caller, std::move(Request));
+    return this->RequestRelay.serve(Caller, std::move(Request));
   }
 
   /// Takes a request's head off the connection; false where none comes by
@@ -143,7 +144,7 @@
     while (!(Length = headLength(Buffer))) {
       if (Buffer.size() > Limits.HeaderBytes)
         return this->refuse(Caller, 431, "the head is too large");
-      if (Caller.fill(Until) != IoEnd::Ok)
+      if (Caller.fill(Until) != IoStatus::Ok)
         return false;
     }
     if (*Length > Limits.HeaderBytes)
@@ -157,18 +158,18 @@
   }
 
   /// Waits for the next request's first bytes; false where none come.
-  bool rest(Channel &Caller, Millis IdleTime) {
+  bool waitForRequest(Channel &Caller, Millis IdleTime) {
     {
       std::lock_guard Lock(this->IdleMutex);
       this->Idle.insert(&Caller);
     }
     TimePoint Until = SystemClock{}.now() + IdleTime;
-    IoEnd End = Caller.waitReadable(Until);
+    IoStatus End = Caller.waitReadable(Until);
     {
       std::lock_guard Lock(this->IdleMutex);
       this->Idle.erase(&Caller);
     }
-    return End == IoEnd::Ok && Caller.fill(Until) == IoEnd::Ok;
+    return End == IoStatus::Ok && Caller.fill(Until) == IoStatus::Ok;
   }
 
   bool readBody(Channel &Caller, BodyDecoder &Body, const CallerLimits &Limits,
@@ -177,11 +178,11 @@
       Body.feed(Caller.buffer(), Into);
       if (Into.size() > Limits.BodyBytes)
         return this->refuse(Caller, 413, "the body is too large");
-      if (Body.isBad())
+      if (Body.isMalformed())
         return this->refuse(Caller, 400, "the body's chunks are malformed");
       if (Body.isDone())
         return true;
-      if (Caller.fill(SystemClock{}.now() + Limits.IdleTime) != IoEnd::Ok)
+      if (Caller.fill(SystemClock{}.now() + Limits.IdleTime) != IoStatus::Ok)
         return false;
     }
   }
@@ -191,8 +192,8 @@
   bool refuse(Channel &Caller, int Status, const std::string &Reason) {
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Status));
-    CallerAnswer Answer(Caller, false, true);
-    Answer.whole(Out, Reason + "\n", SystemClock{}.now() + AnswerTime);
+    CallerResponse Response(Caller, false, true);
+    Response.sendWhole(Out, Reason + "\n", SystemClock{}.now() + AnswerTime);
     this->Board.Log.emit(
         EventCode::RequestRefused, "unread",
         LogFields().add("status", Status).add("reason", Reason));
@@ -200,7 +201,7 @@
   }
 
   EntryBoard &Board;
-  Relay<Protocol> &Relayed;
+  Relay<Protocol> &RequestRelay;
   Poco::ThreadPool Threads;
   Poco::Net::ServerSocket Listener;
   /// Connections between two requests.
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -23,7 +23,7 @@
 template <typename P>
 concept EntryPlatform = CallerProtocol<typename P::Callers> &&
     StoreFeed<typename P::Feed> && NodeDirectory<typename P::Feed> &&
-    WorkShares<typename P::Shares> && GroupControl<typename P::Control> &&
+    WorkShares<typename P::Partitions> && GroupControl<typename P::Control> &&
     requires(EntryBoard &Board) {
   { P::configFeed(Board) } -> std::same_as<typename P::Feed>;
   { P::registryFeed(Board) } -> std::same_as<typename P::Feed>;
@@ -44,13 +44,15 @@
         ConfigFeed(this->Board.feed(FeedKind::Config)),
         RegistryFeed(this->Board.feed(FeedKind::Registry)),
         NodeFeed(this->Board.feed(FeedKind::Nodes)),
-        Directory(Platform::nodeFeed(this->Board)), Work(this->Board),
-        Targets(this->Board), Routing(this->Board, this->ConfigFeed, {}),
+        Directory(Platform::nodeFeed(this->Board)), Partitions(this->Board),
+        Control(this->Board), Routing(this->Board, this->ConfigFeed, {}),
         Registry(this->Board, this->RegistryFeed, {}),
-        Nodes(this->Board, this->NodeFeed, this->Directory), Sight(this->Board),
-        News(this->Board, this->Sight), NewsAnswers(this->Board, this->Sight),
-        Domains(this->Board, this->Work, this->Targets),
-        Relayed(this->Board, this->Pool), Callers(this->Board, this->Relayed),
+        Nodes(this->Board, this->NodeFeed, this->Directory),
+        Observations(this->Board), News(this->Board, this->Observations),
+        NewsService(this->Board, this->Observations),
+        Domains(this->Board, this->Partitions, this->Control),
+        RequestRelay(this->Board, this->Pool),
+        Callers(this->Board, this->RequestRelay),
         Ready(
             Platform::ReadyPath, [this] { return this->isReady(); },
             this->Board.Counters) {}
@@ -59,9 +61,9 @@
   void start() {
     this->Board.FillAwaited.renew(
         SystemClock{}.now(),
-        this->Board.Config.Entry->FirstStart ? FirstFillTime : FillTime);
+        this->Board.Config.Entry->FirstStart ? FirstFillTimeout : FillTimeout);
     this->Ready.start(this->Board.Config.Entry->Ready);
-    this->NewsAnswers.start();
+    this->NewsService.start();
     this->Callers.start();
     this->loop([this] { return this->ConfigReader.step(); });
     this->loop([this] { return this->ConfigReader.watch(); });
@@ -81,11 +83,11 @@
     this->loop([this] { return this->Domains.renew(); });
     this->loop([this] {
       this->Domains.step();
-      return PlanEvery;
+      return PlanInterval;
     });
     this->loop([this] {
       this->sweep();
-      return SweepEvery;
+      return SweepInterval;
     });
     this->Board.Log.emit(
         EventCode::DaemonStarted, this->Board.Config.Node.Text,
@@ -106,7 +108,7 @@
   /// Whether the process may end: idle, and long enough after the stop began
   /// for the balancer to have noticed.
   bool isDrained() {
-    if (SystemClock{}.now() - this->StopBegan <= BalancerTime)
+    if (SystemClock{}.now() - this->StopBegan <= BalancerDelay)
       return false;
     // From here on only what came before is finished.
     bool Refused = this->Board.Refusing.exchange(true);
@@ -115,7 +117,7 @@
     return Refused && this->Board.InFlight == 0;
   }
 
-  void noteStopped() {
+  void logStopped() {
     this->Board.Log.emit(
         EventCode::DaemonStopped, this->Board.Config.Node.Text,
         LogFields().add("in_flight", this->Board.InFlight.load()));
@@ -124,18 +126,18 @@
   std::uint32_t inFlight() const { return this->Board.InFlight; }
 
 private:
-  static constexpr Millis PlanEvery{100};
+  static constexpr Millis PlanInterval{100};
   /// For other nodes to tell a node that starts what there is, before it reads
   /// the store: one reads it for all of a data centre in 0.1 s, and passes it
   /// on over two hops in 0.5 s. Callers wait for a node that restarts; while
   /// the whole system starts there are none yet.
-  static constexpr Millis FillTime{1000};
-  static constexpr Millis FirstFillTime{2000};
-  static constexpr Millis SweepEvery{1000};
+  static constexpr Millis FillTimeout{1000};
+  static constexpr Millis FirstFillTimeout{2000};
+  static constexpr Millis SweepInterval{1000};
   /// In sweeps; a line of the log each time.
-  static constexpr unsigned CallsToldEvery = 5;
+  static constexpr unsigned SweepsPerCallLog = 5;
   /// The balancer asks each second and believes the second miss.
-  static constexpr Millis BalancerTime{2600};
+  static constexpr Millis BalancerDelay{2600};
 
   /// Whether keys may be used: they are proven current, or the operators allow
   /// to go on with those that were current when the store was last reached.
@@ -178,14 +180,14 @@
       for (auto &[Model, Row] : Rows)
         Row = Row.scaled(DemandKept);
     });
-    if (++this->Sweeps % CallsToldEvery == 0)
-      this->tellCalls();
+    if (++this->SweepCount % SweepsPerCallLog == 0)
+      this->logStoreCalls();
   }
 
   /// How many calls to the store were made, and why, while any are.
-  void tellCalls() {
+  void logStoreCalls() {
     std::uint64_t Calls = this->Board.Counters.Calls.sum();
-    if (std::exchange(this->CallsTold, Calls) != Calls)
+    if (std::exchange(this->LoggedCalls, Calls) != Calls)
       this->Board.Log.emit(EventCode::StoreCallsMade,
                            this->Board.Config.Node.Text,
                            this->Board.Counters.Calls.fields());
@@ -201,7 +203,7 @@
   }
 
   EntryBoard Board;
-  TargetPool Pool;
+  TargetConnectionPool Pool;
   using Reader = StoreReader<typename Platform::Feed>;
   Reader ConfigReader;
   Reader RegistryReader;
@@ -211,20 +213,21 @@
   CachedFeed NodeFeed;
   /// For announcing this node, while the feed waits for others' news.
   typename Platform::Feed Directory;
-  typename Platform::Shares Work;
-  typename Platform::Control Targets;
+  typename Platform::Partitions Partitions;
+  typename Platform::Control Control;
   ConfigFollower<CachedFeed, typename Platform::ConfigDecoder> Routing;
   RegistryFollower<CachedFeed, typename Platform::TargetDecoder> Registry;
   NodeFollower<CachedFeed, typename Platform::Feed> Nodes;
-  SharedSight Sight;
+  SharedSight Observations;
   NewsExchange News;
-  NewsServer NewsAnswers;
-  DomainOwner<typename Platform::Shares, typename Platform::Control> Domains;
-  Relay<typename Platform::Callers> Relayed;
+  NewsServer NewsService;
+  DomainOwner<typename Platform::Partitions, typename Platform::Control>
+      Domains;
+  Relay<typename Platform::Callers> RequestRelay;
   CallerServer<typename Platform::Callers> Callers;
   std::atomic<bool> WasReady{false};
-  unsigned Sweeps = 0;
-  std::uint64_t CallsTold = 0;
+  unsigned SweepCount = 0;
+  std::uint64_t LoggedCalls = 0;
   TimePoint StopBegan;
   ReadyServer Ready;
   std::vector<std::jthread> Loops;
--- a/src/entry/ready_server.cpp
+++ b/src/entry/ready_server.cpp
@@ -55,7 +55,7 @@
   Socket.listen(Backlog);
   auto Params = Poco::AutoPtr<Poco::Net::HTTPServerParams>(
       new Poco::Net::HTTPServerParams);
-  Params->setMaxThreads(MostThreads);
+  Params->setMaxThreads(MaxThreads);
   this->Server = std::make_unique<Poco::Net::HTTPServer>(
       new Handlers(*this), this->Threads, Socket, Params);
   this->Server->start();
--- a/src/entry/ready_server.h
+++ b/src/entry/ready_server.h
@@ -32,15 +32,15 @@
 private:
   class Handler;
   class Handlers;
-  static constexpr int LeastThreads = 2;
-  static constexpr int MostThreads = 4;
+  static constexpr int MinThreads = 2;
+  static constexpr int MaxThreads = 4;
   /// Connections that wait to be taken.
   static constexpr int Backlog = 64;
 
   const std::string Path;
   const std::function<bool()> IsReady;
   const Metrics &Counters;
-  Poco::ThreadPool Threads{"ready", LeastThreads, MostThreads};
+  Poco::ThreadPool Threads{"ready", MinThreads, MaxThreads};
   std::unique_ptr<Poco::Net::HTTPServer> Server;
 };
 
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "entry/answer_pass.h"
+#include "entry/response_forwarder.h"
 #include "policy/urgency.h"
 
 namespace waycove {
@@ -18,10 +18,10 @@
 /// target that did not itself say so.
 template <CallerProtocol Protocol> class Relay {
 public:
-  Relay(EntryBoard &Board, TargetPool &Pool)
-      : Board(Board), Pool(Pool), Notes(Board), Choice(Board),
-        Wait(Board, this->Choice, this->Notes),
-        Answers(Board, Pool, this->Wait, this->Notes) {}
+  Relay(EntryBoard &Board, TargetConnectionPool &Pool)
+      : Board(Board), Pool(Pool), Log(Board), Policy(Board),
+        Waiter(Board, this->Policy, this->Log),
+        Forwarder(Board, Pool, this->Waiter, this->Log) {}
 
   /// Serves \p Request and answers on \p Caller. Whether the connection may be
   /// used for another request.
@@ -29,21 +29,21 @@
     this->Board.InFlight.fetch_add(1);
     this->Board.Requested = true;
     bool Keep = Request.Head.getKeepAlive() && !this->Board.Stopping;
-    CallerAnswer Answer(Caller, Keep, Request.Head.getMethod() != "HEAD");
-    RelayRun Run;
-    Run.LastEvent = Request.Facts.LastEvent;
+    CallerResponse Response(Caller, Keep, Request.Head.getMethod() != "HEAD");
+    RelayProgress Progress;
+    Progress.LastEvent = Request.Info.LastEvent;
     absl::Status Admitted =
         this->Board.Refusing
             ? makeError(ErrorKind::Stopping, "stopping", ComeBackElsewhere)
             : admitRequest(this->Board, Request, SystemClock{}.now());
     if (Admitted.ok()) {
-      this->Choice.noteRequest(Request);
-      this->run({Caller, Request, Run, Answer});
+      this->Policy.recordRequest(Request);
+      this->runAttempts({Caller, Request, Progress, Response});
     } else {
-      this->refuse({Caller, Request, Run, Answer}, Admitted);
+      this->refuse({Caller, Request, Progress, Response}, Admitted);
     }
     this->Board.InFlight.fetch_sub(1);
-    return Answer.keepsAlive();
+    return Response.mayReuseConnection();
   }
 
 private:
@@ -64,112 +64,116 @@
   /// the registry needs to take it off the list.
   static constexpr Millis UnreachableTime{3000};
 
-  void run(RelayExchange Ex) {
+  void runAttempts(RelayExchange Ex) {
     while (true) {
       TimePoint Now = SystemClock{}.now();
       if (Now >= Ex.Request.Deadline)
-        return this->giveUp(Ex, "the deadline passed", true);
-      if (!this->Choice.maySend(Ex.Request, Now))
-        return this->giveUpBlamed(Ex);
+        return this->fail(Ex, "the deadline passed", true);
+      if (!this->Policy.maySend(Ex.Request, Now))
+        return this->failCrashing(Ex);
       std::optional<ChosenTarget> Chosen =
-          this->Choice.choose(Ex.Request, Ex.Run, Now);
+          this->Policy.choose(Ex.Request, Ex.Progress, Now);
       if (!Chosen)
-        return this->giveUp(Ex, "no target serves", false);
-      Ex.Run.Basis = Chosen->Basis;
-      this->Board.Counters.observe(Timer::RegistryAge, Chosen->Basis.Age);
-      if (Ex.Run.Sent > 0 && !this->Choice.spend(Ex.Request.Service, Now))
-        return this->giveUp(Ex, "no second sends left in this window", false);
+        return this->fail(Ex, "no target serves", false);
+      Ex.Progress.Snapshot = Chosen->Snapshot;
+      this->Board.Counters.observe(Timer::RegistryAge, Chosen->Snapshot.Age);
+      if (Ex.Progress.SentCount > 0 &&
+          !this->Policy.takeRetry(Ex.Request.Service, Now))
+        return this->fail(Ex, "no second sends left in this window", false);
       AttemptEnd End = this->attempt(Ex, Chosen->To, Now);
       if (End == AttemptEnd::Done || End == AttemptEnd::CallerGone)
-        return this->Notes.done(Ex, Chosen->To, End);
+        return this->Log.requestDone(Ex, Chosen->To, End);
       if (End == AttemptEnd::Broken || End == AttemptEnd::Stalled)
-        ++Ex.Run.MayHaveRun;
-      if (!RelayChoice::mayGoOn(Ex.Request, Ex.Run))
-        return this->giveUp(Ex, Ex.Run.Reason,
-                            SystemClock{}.now() >= Ex.Request.Deadline);
+        ++Ex.Progress.MayHaveRun;
+      if (!RelayPolicy::mayRetry(Ex.Request, Ex.Progress))
+        return this->fail(Ex, Ex.Progress.Reason,
+                          SystemClock{}.now() >= Ex.Request.Deadline);
     }
   }
 
   AttemptEnd attempt(RelayExchange &Ex, const Serving &To, TimePoint ChosenAt) {
-    RelayAttempt Try;
-    Try.To = To;
+    RelayAttempt Attempt;
+    Attempt.To = To;
     const VmLife Life = To.Target->life();
-    Ex.Run.Tried.push_back(Life.Id);
-    if (!this->connect(Ex, Try)) {
-      this->Notes.suspect(Life, UnreachableTime, Try.Reason,
-                          Ex.Request.Facts.Id);
-      return this->noteAttempt(Ex, Try, AttemptEnd::NotSent);
+    Ex.Progress.Tried.push_back(Life.Id);
+    if (!this->connect(Ex, Attempt)) {
+      this->Log.suspectTarget(Life, UnreachableTime, Attempt.Reason,
+                        Ex.Request.Info.Id);
+      return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
     }
-    Try.SentAt = SystemClock{}.now();
-    if (Try.SentAt - ChosenAt > ChoiceTime) {
+    Attempt.SentAt = SystemClock{}.now();
+    if (Attempt.SentAt - ChosenAt > ChoiceTime) {
       // The target may have left since; it is chosen anew, and may be again.
-      Ex.Run.Tried.pop_back();
-      Try.Reason = "this machine stood still";
-      return this->noteAttempt(Ex, Try, AttemptEnd::NotSent);
+      Ex.Progress.Tried.pop_back();
+      Attempt.Reason = "this machine stood still";
+      return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
     }
-    auto Prompt = static_cast<double>(Ex.Request.Facts.PromptTokens);
-    Try.LastByte = Try.SentAt;
-    this->Board.Vitals.write(
-        [&](VitalsTable &Vitals) { Vitals.onStart(Life, Prompt, Try.SentAt); });
-    AttemptEnd End = this->exchange(Ex, Try);
-    this->Choice.noteEnd(Ex.Request, Try, End, SystemClock{}.now());
+    auto Prompt = static_cast<double>(Ex.Request.Info.PromptTokens);
+    Attempt.LastByte = Attempt.SentAt;
     this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onEnd(Life, Try.SentAt, Try.FirstByteSeen, Prompt);
+      Vitals.onStart(Life, Prompt, Attempt.SentAt);
+    });
+    AttemptEnd End = this->exchange(Ex, Attempt);
+    this->Policy.recordOutcome(Ex.Request, Attempt, End, SystemClock{}.now());
+    this->Board.Vitals.write([&](VitalsTable &Vitals) {
+      Vitals.onEnd(Life, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
       if (End != AttemptEnd::CallerGone)
         Vitals.onOutcome(Life, End == AttemptEnd::Broken, SystemClock{}.now());
     });
     // What a cut still holds up must not be delivered seconds later, to a
     // target that has left by then: a reset takes it back, an end in good order
     // not.
-    if (End != AttemptEnd::Done && Try.Connection)
-      Try.Connection->abort();
-    return this->noteAttempt(Ex, Try, End);
+    if (End != AttemptEnd::Done && Attempt.Connection)
+      Attempt.Connection->abort();
+    return this->endAttempt(Ex, Attempt, End);
   }
 
-  bool connect(const RelayExchange &Ex, RelayAttempt &Try) {
+  bool connect(const RelayExchange &Ex, RelayAttempt &Attempt) {
     TimePoint Now = SystemClock{}.now();
     // A kept connection may just be closing; what cannot be repeated is not
     // put at that risk.
     if (Ex.Request.Route->mayRepeat())
-      Try.Connection = this->Pool.take(Try.To.Target->life(), Now);
-    if (Try.Connection)
+      Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
+    if (Attempt.Connection)
       return true;
-    IoEnd End = Channel::dial(Try.To.Target->Address,
-                              std::min(Ex.Request.Deadline, Now + DialTime),
-                              Try.Connection);
-    if (End == IoEnd::Ok && Ex.Request.Route->mayRepeat())
-      Try.Connection->giveUpUnacknowledged(AcknowledgeTime);
-    if (End != IoEnd::Ok)
-      Try.Reason = End == IoEnd::Timeout ? "no connection in time"
-                                         : "connection refused";
-    return End == IoEnd::Ok;
+    IoStatus End = Channel::connect(Attempt.To.Target->Address,
+                                 std::min(Ex.Request.Deadline, Now + DialTime),
+                                 Attempt.Connection);
+    if (End == IoStatus::Ok && Ex.Request.Route->mayRepeat())
+      Attempt.Connection->setAckTimeout(AcknowledgeTime);
+    if (End != IoStatus::Ok)
+      Attempt.Reason = End == IoStatus::Timeout ? "no connection in time"
+                                                : "connection refused";
+    return End == IoStatus::Ok;
   }
 
   /// Sends the request over the open connection and deals with the answer.
-  AttemptEnd exchange(RelayExchange &Ex, RelayAttempt &Try) {
-    std::string Bytes = sendBytes(Ex, Try);
-    ++Ex.Run.Sent;
+  AttemptEnd exchange(RelayExchange &Ex, RelayAttempt &Attempt) {
+    std::string Bytes = serializeRequest(Ex, Attempt);
+    ++Ex.Progress.SentCount;
     this->Board.Counters.add(Counter::Attempts);
-    if (Try.Connection->send(Bytes, Ex.Request.Deadline) != IoEnd::Ok) {
-      Try.Lost = true;
-      Try.Reason = "the connection broke while sending";
+    if (Attempt.Connection->send(Bytes, Ex.Request.Deadline) != IoStatus::Ok) {
+      Attempt.ConnectionLost = true;
+      Attempt.Reason = "the connection broke while sending";
       return AttemptEnd::Broken;
     }
-    return this->Answers.read(Ex, Try);
+    return this->Forwarder.read(Ex, Attempt);
   }
 
   /// The request as this send of it goes to its target.
-  static std::string sendBytes(const RelayExchange &Ex,
-                               const RelayAttempt &Try) {
+  static std::string serializeRequest(const RelayExchange &Ex,
+                                      const RelayAttempt &Attempt) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
-        waitedBefore(*Request.Route, Request.Facts.Deadline) +
-        std::chrono::duration_cast<Millis>(Try.SentAt - Request.Arrived);
-    SendFacts Facts{
-        Try.To.Target->Id, Request.Workspace,
-        std::chrono::duration_cast<Millis>(Request.Deadline - Try.SentAt),
-        urgencyOf(*Request.Route, Request.Owner, Waited), Ex.Run.LastEvent};
-    Poco::Net::HTTPRequest Head = Protocol::makeSend(Request.Head, Facts);
+        waitedBefore(*Request.Route, Request.Info.Timeout) +
+        std::chrono::duration_cast<Millis>(Attempt.SentAt - Request.ArrivedAt);
+    AttemptParams Info{
+        Attempt.To.Target->Id, Request.Workspace,
+        std::chrono::duration_cast<Millis>(Request.Deadline - Attempt.SentAt),
+        urgencyOf(*Request.Route, Request.Owner, Waited),
+        Ex.Progress.LastEvent};
+    Poco::Net::HTTPRequest Head =
+        Protocol::makeTargetRequest(Request.Head, Info);
     if (!Request.Body.empty() || Request.Head.hasContentLength() ||
         Request.Head.getChunkedTransferEncoding())
       Head.setContentLength64(static_cast<Poco::Int64>(Request.Body.size()));
@@ -178,44 +182,44 @@
     return Out.str() + Request.Body;
   }
 
-  AttemptEnd noteAttempt(const RelayExchange &Ex, const RelayAttempt &Try,
-                         AttemptEnd End) {
-    Ex.Run.Reason = Try.Reason;
+  AttemptEnd endAttempt(const RelayExchange &Ex, const RelayAttempt &Attempt,
+                        AttemptEnd End) {
+    Ex.Progress.Reason = Attempt.Reason;
     if (End != AttemptEnd::Done)
-      this->Notes.attemptEnded(Ex, Try);
+      this->Log.attemptEnded(Ex, Attempt);
     return End;
   }
 
   /// What a caller is told that gets no answer: only what is certain.
-  static ErrorKind refusalOf(const RelayRun &Run, bool DeadlinePassed) {
+  static ErrorKind errorKindFor(const RelayProgress &Progress,
+                                bool DeadlinePassed) {
     if (DeadlinePassed)
-      return Run.MayHaveRun ? ErrorKind::DeadlineAfterRun
-                            : ErrorKind::DeadlineBeforeRun;
-    if (Run.MayHaveRun)
+      return Progress.MayHaveRun ? ErrorKind::DeadlineAfterRun
+                                 : ErrorKind::DeadlineBeforeRun;
+    if (Progress.MayHaveRun)
       return ErrorKind::OutcomeUnknown;
-    return Run.Sent ? ErrorKind::TargetBusy : ErrorKind::NoCapacity;
+    return Progress.SentCount ? ErrorKind::TargetBusy : ErrorKind::NoCapacity;
   }
 
   /// Ends a request for which no further send is allowed or possible.
-  void giveUp(RelayExchange Ex, const std::string &Reason,
-              bool DeadlinePassed) {
-    if (Ex.Answer.hasBegun()) {
-      Ex.Answer.cut();
-      return this->Notes.cut(Ex, Reason);
+  void fail(RelayExchange Ex, const std::string &Reason, bool DeadlinePassed) {
+    if (Ex.Response.hasStarted()) {
+      Ex.Response.abort();
+      return this->Log.requestCut(Ex, Reason);
     }
-    if (Ex.Run.Failure) {
-      Ex.deliver(*Ex.Run.Failure, Ex.Run.FailureBody);
-      return this->Notes.failed(Ex, Reason);
+    if (Ex.Progress.Failure) {
+      Ex.deliver(*Ex.Progress.Failure, Ex.Progress.FailureBody);
+      return this->Log.requestFailed(Ex, Reason);
     }
-    this->refuse(Ex, makeError(refusalOf(Ex.Run, DeadlinePassed), Reason,
-                               comeBackAfter(Ex.Request)));
+    this->refuse(Ex, makeError(errorKindFor(Ex.Progress, DeadlinePassed),
+                               Reason, comeBackAfter(Ex.Request)));
   }
 
   /// Ends a request under which targets ended: nothing known will serve it.
-  void giveUpBlamed(RelayExchange Ex) {
+  void failCrashing(RelayExchange Ex) {
     const std::string Reason = "targets ended under it";
-    if (Ex.Run.MayHaveRun > 0)
-      return this->giveUp(Ex, Reason, false);
+    if (Ex.Progress.MayHaveRun > 0)
+      return this->fail(Ex, Reason, false);
     this->refuse(Ex, makeError(ErrorKind::CrashesTargets, Reason, BlamedTime));
   }
 
@@ -224,20 +228,20 @@
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Row.HttpStatus));
     Out.setContentType("application/json");
-    Protocol::markAnswer(Out, Ex.Request.Facts.Id,
-                         Row.RequestRan == Ran::No ? retryAfterOf(Why)
-                                                   : Millis(0));
-    Ex.Answer.whole(Out, errorJson(Why),
-                    SystemClock{}.now() + RelayExchange::WriteGrace);
-    this->Notes.refused(Ex, Why);
+    Protocol::setResponseHeaders(Out, Ex.Request.Info.Id,
+                                 Row.RequestRan == Ran::No ? retryAfterOf(Why)
+                                                           : Millis(0));
+    Ex.Response.sendWhole(Out, errorJson(Why),
+                      SystemClock{}.now() + RelayExchange::WriteGrace);
+    this->Log.requestRefused(Ex, Why);
   }
 
   EntryBoard &Board;
-  TargetPool &Pool;
-  RelayNotes Notes;
-  RelayChoice Choice;
-  AnswerWait Wait;
-  AnswerPass<Protocol> Answers;
+  TargetConnectionPool &Pool;
+  RelayLog Log;
+  RelayPolicy Policy;
+  ResponseWait Waiter;
+  ResponseForwarder<Protocol> Forwarder;
 };
 
 } // namespace waycove
--- a/src/entry/relay_attempt.cpp
+++ b/src/entry/relay_attempt.cpp
@@ -10,7 +10,7 @@
                             const std::string &Bytes) {
   Poco::Net::HTTPResponse Out(Head.getStatus(), Head.getReason());
   copyEndToEnd(Head, Out);
-  return this->Answer.whole(Out, Bytes, this->writeUntil()) == IoEnd::Ok;
+  return this->Response.sendWhole(Out, Bytes, this->writeUntil()) == IoStatus::Ok;
 }
 
 } // namespace waycove
--- a/src/entry/relay_attempt.h
+++ b/src/entry/relay_attempt.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "entry/caller_answer.h"
+#include "entry/caller_response.h"
 #include "entry/relay_request.h"
 #include "policy/retry.h"
 
@@ -14,8 +14,8 @@
 struct RelayExchange {
   Channel &Caller;
   RelayRequest &Request;
-  RelayRun &Run;
-  CallerAnswer &Answer;
+  RelayProgress &Progress;
+  CallerResponse &Response;
 
   /// Until when an answer may be written. A caller that is slow to read gets a
   /// little beyond the deadline.
@@ -36,9 +36,9 @@
   bool FirstByteSeen = false;
   bool WatchCaller = true;
   /// The connection ended before its answer did: the target may have.
-  bool Lost = false;
+  bool ConnectionLost = false;
   /// The target's answer is a success.
-  bool Succeeds = false;
+  bool Succeeded = false;
   std::string Reason;
 };
 
--- a/src/entry/relay_notes.cpp
+++ b/src/entry/relay_log.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "entry/relay_notes.h"
+#include "entry/relay_log.h"
 
 namespace waycove {
 
@@ -13,26 +13,26 @@
   LogFields Fields;
   TimePoint Now = SystemClock{}.now();
   Fields.add("after_ms",
-             std::chrono::duration_cast<Millis>(Now - Ex.Request.Arrived));
+             std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt));
   if (Ex.Request.Config)
     Fields.add("config", Ex.Request.Config->Version);
   if (Ex.Request.Route)
     Fields.add("route", Ex.Request.Route->Name)
         .add("service", Ex.Request.Service.Text)
-        .add("model", Ex.Request.Facts.Model)
+        .add("model", Ex.Request.Info.Model)
         .add("workspace", Ex.Request.Workspace.Text)
         .add("content", Ex.Request.Content.Value);
-  if (Ex.Run.Basis)
-    Fields.add("registry", Ex.Run.Basis->Registry.At.Value)
-        .add("registry_age_ms", Ex.Run.Basis->Age);
-  return Fields.add("sends", Ex.Run.Sent)
-      .add("may_have_run", Ex.Run.MayHaveRun);
+  if (Ex.Progress.Snapshot)
+    Fields.add("registry", Ex.Progress.Snapshot->Position.At.Value)
+        .add("registry_age_ms", Ex.Progress.Snapshot->Age);
+  return Fields.add("sends", Ex.Progress.SentCount)
+      .add("may_have_run", Ex.Progress.MayHaveRun);
 }
 
 } // namespace
 
-void RelayNotes::suspect(const VmLife &Target, Millis Time,
-                         const std::string &Reason, const RequestId &Because) {
+void RelayLog::suspectTarget(const VmLife &Target, Millis Time,
+                       const std::string &Reason, const RequestId &Because) {
   TimePoint Now = SystemClock{}.now();
   bool New = this->Board.Vitals.write([&](VitalsTable &Vitals) {
     bool Fresh = Vitals.of(Target).SuspectUntil <= Now;
@@ -49,49 +49,49 @@
                            .add("for_ms", Time));
 }
 
-void RelayNotes::attemptEnded(const RelayExchange &Ex,
-                              const RelayAttempt &Try) {
-  this->Board.Log.emit(EventCode::AttemptEnded, Ex.Request.Facts.Id.Text,
+void RelayLog::attemptEnded(const RelayExchange &Ex,
+                            const RelayAttempt &Attempt) {
+  this->Board.Log.emit(EventCode::AttemptEnded, Ex.Request.Info.Id.Text,
                        fieldsOf(Ex)
-                           .add("target", Try.To.Target->Id.Text)
-                           .add("address", Try.To.Target->Address.text())
-                           .add("first_byte", Try.FirstByteSeen)
-                           .add("last_event", Ex.Run.LastEvent.value_or(0))
-                           .add("reason", Try.Reason));
+                           .add("target", Attempt.To.Target->Id.Text)
+                           .add("address", Attempt.To.Target->Address.text())
+                           .add("first_byte", Attempt.FirstByteSeen)
+                           .add("last_event", Ex.Progress.LastEvent.value_or(0))
+                           .add("reason", Attempt.Reason));
 }
 
-void RelayNotes::done(const RelayExchange &Ex, const Serving &To,
-                      AttemptEnd End) {
+void RelayLog::requestDone(const RelayExchange &Ex, const Serving &To,
+                    AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
   this->Board.Counters.observe(Timer::Whole,
-                               SystemClock{}.now() - Ex.Request.Arrived);
+                               SystemClock{}.now() - Ex.Request.ArrivedAt);
   if (End == AttemptEnd::Done)
     this->Board.Log.emit(
-        EventCode::RequestDone, Ex.Request.Facts.Id.Text,
+        EventCode::RequestDone, Ex.Request.Info.Id.Text,
         fieldsOf(Ex)
             .add("target", To.Target->Id.Text)
-            .add("first_byte_ms", Ex.Run.FirstByte.value_or(Millis(0))));
+            .add("first_byte_ms", Ex.Progress.FirstByte.value_or(Millis(0))));
 }
 
-void RelayNotes::failed(const RelayExchange &Ex, const std::string &Reason) {
+void RelayLog::requestFailed(const RelayExchange &Ex, const std::string &Reason) {
   this->Board.Log.emit(
-      EventCode::RequestDone, Ex.Request.Facts.Id.Text,
+      EventCode::RequestDone, Ex.Request.Info.Id.Text,
       fieldsOf(Ex)
-          .add("status", static_cast<int>(Ex.Run.Failure->getStatus()))
+          .add("status", static_cast<int>(Ex.Progress.Failure->getStatus()))
           .add("reason", Reason));
 }
 
-void RelayNotes::cut(const RelayExchange &Ex, const std::string &Reason) {
+void RelayLog::requestCut(const RelayExchange &Ex, const std::string &Reason) {
   this->Board.Counters.add(Counter::RequestsCut);
-  this->Board.Log.emit(EventCode::RequestCut, Ex.Request.Facts.Id.Text,
+  this->Board.Log.emit(EventCode::RequestCut, Ex.Request.Info.Id.Text,
                        fieldsOf(Ex).add("reason", Reason));
 }
 
-void RelayNotes::refused(const RelayExchange &Ex, const absl::Status &Why) {
+void RelayLog::requestRefused(const RelayExchange &Ex, const absl::Status &Why) {
   const ErrorAnswer &Row = answerFor(kindOf(Why));
   this->Board.Counters.add(Counter::RequestsRefused);
-  this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Facts.Id.Text,
+  this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
                        fieldsOf(Ex)
                            .add("kind", Row.Name)
                            .add("status", Row.HttpStatus)
--- a/src/entry/relay_notes.h
+++ b/src/entry/relay_log.h
@@ -10,23 +10,23 @@
 
 /// Tells the log and the counters what becomes of callers' requests and of
 /// their sends, with the same fields on every line. Thread-safe.
-class RelayNotes {
+class RelayLog {
 public:
-  explicit RelayNotes(EntryBoard &Board) : Board(Board) {}
+  explicit RelayLog(EntryBoard &Board) : Board(Board) {}
 
   /// Takes the target out of choice for \p Time, and tells of it where it is
   /// not out already.
-  void suspect(const VmLife &Target, Millis Time, const std::string &Reason,
-               const RequestId &Because);
+  void suspectTarget(const VmLife &Target, Millis Time,
+                     const std::string &Reason, const RequestId &Because);
   /// A send ended without a whole answer.
-  void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Try);
+  void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
   /// The request ended with the answer of \p To, or because the caller left.
-  void done(const RelayExchange &Ex, const Serving &To, AttemptEnd End);
+  void requestDone(const RelayExchange &Ex, const Serving &To, AttemptEnd End);
   /// The request ended with a target's own failure.
-  void failed(const RelayExchange &Ex, const std::string &Reason);
+  void requestFailed(const RelayExchange &Ex, const std::string &Reason);
   /// The request's answer had begun and was given up.
-  void cut(const RelayExchange &Ex, const std::string &Reason);
-  void refused(const RelayExchange &Ex, const absl::Status &Why);
+  void requestCut(const RelayExchange &Ex, const std::string &Reason);
+  void requestRefused(const RelayExchange &Ex, const absl::Status &Why);
 
 private:
   EntryBoard &Board;
--- a/src/entry/relay_choice.cpp
+++ b/src/entry/relay_policy.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "entry/relay_choice.h"
+#include "entry/relay_policy.h"
 
 #include <algorithm>
 
@@ -19,14 +19,14 @@
 
 } // namespace
 
-void RelayChoice::noteRequest(const RelayRequest &Request) {
-  const CallerFacts &Facts = Request.Facts;
-  if (!Facts.Model.empty())
+void RelayPolicy::recordRequest(const RelayRequest &Request) {
+  const CallerRequestInfo &Info = Request.Info;
+  if (!Info.Model.empty())
     this->Board.Demand.write([&](DemandTable &Rows) {
-      ModelDemand &Row = Rows[Facts.Model];
+      ModelDemand &Row = Rows[Info.Model];
       ++Row.Requests;
-      Row.PromptTokens += static_cast<double>(Facts.PromptTokens);
-      Row.AnswerTokens += static_cast<double>(Facts.AnswerTokens);
+      Row.PromptTokens += static_cast<double>(Info.PromptTokens);
+      Row.AnswerTokens += static_cast<double>(Info.MaxOutputTokens);
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Given = *this->Board.Config.Entry;
@@ -37,7 +37,7 @@
   });
 }
 
-bool RelayChoice::maySend(const RelayRequest &Request, TimePoint Now) {
+bool RelayPolicy::maySend(const RelayRequest &Request, TimePoint Now) {
   using Verdict = CrashBlame::Verdict;
   Verdict Found = this->Board.Crashes.read(
       [&](const CrashBlame &Rows) { return Rows.judge(Request.Content, Now); });
@@ -52,13 +52,13 @@
     return Still;
   });
   if (Mine)
-    this->Board.Log.emit(EventCode::RequestTried, Request.Facts.Id.Text,
+    this->Board.Log.emit(EventCode::RequestTried, Request.Info.Id.Text,
                          LogFields().add("content", Request.Content.Value));
   return Mine;
 }
 
 /// One node alone, the same in the view of all.
-bool RelayChoice::isTrialNode(ContentHash Content) const {
+bool RelayPolicy::isTrialNode(ContentHash Content) const {
   auto RankOf = [&](const NodeId &Node) {
     return mixHash(Content.Value, hashText(Node.Text));
   };
@@ -70,19 +70,20 @@
   });
 }
 
-void RelayChoice::noteEnd(const RelayRequest &Request, const RelayAttempt &Try,
-                          AttemptEnd End, TimePoint Now) {
-  if (End == AttemptEnd::Broken && Try.Lost)
+void RelayPolicy::recordOutcome(const RelayRequest &Request,
+                                const RelayAttempt &Attempt, AttemptEnd End,
+                                TimePoint Now) {
+  if (End == AttemptEnd::Broken && Attempt.ConnectionLost)
     this->Board.Crashes.write([&](CrashBlame &Rows) {
-      Rows.noteLost(Request.Content, Try.To.Target->life(), Now);
+      Rows.noteLost(Request.Content, Attempt.To.Target->life(), Now);
     });
-  else if (End == AttemptEnd::Done && Try.Succeeds)
+  else if (End == AttemptEnd::Done && Attempt.Succeeded)
     this->Board.Crashes.write(
         [&](CrashBlame &Rows) { Rows.noteServed(Request.Content, Now); });
 }
 
-std::optional<ChosenTarget> RelayChoice::choose(const RelayRequest &Request,
-                                                const RelayRun &Run,
+std::optional<ChosenTarget> RelayPolicy::choose(const RelayRequest &Request,
+                                                const RelayProgress &Progress,
                                                 TimePoint Now) {
   // Before the view: an age must not be understated.
   TimePoint ProvenAt = this->Board.RegistryProven.get();
@@ -95,13 +96,13 @@
   ChoiceQuery Query;
   const ServiceSpec *Spec = Request.Config->service(Request.Service);
   if (Spec && Spec->hasGroups())
-    Query.Model = Request.Facts.Model;
+    Query.Model = Request.Info.Model;
   Query.Here = this->Board.Config.DataCentre;
-  Query.Anywhere = this->mayGoAnywhere(Request, Query.Model);
-  Query.Avoid = Run.Tried;
+  Query.Anywhere = this->mayLeaveDataCentre(Request, Query.Model);
+  Query.Avoid = Progress.Tried;
   Query.Now = Now;
   Query.RegistryOld = RegistryOld;
-  Query.Random = mixHash(Request.Random, Run.Tried.size());
+  Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.Vitals.read(
       [&](const VitalsTable &Vitals) -> std::optional<ChosenTarget> {
         const Serving *Row = chooseTarget(Rows->second, Vitals, Query);
@@ -112,8 +113,8 @@
       });
 }
 
-bool RelayChoice::mayGoAnywhere(const RelayRequest &Request,
-                                const std::string &Model) const {
+bool RelayPolicy::mayLeaveDataCentre(const RelayRequest &Request,
+                                     const std::string &Model) const {
   double Stay = this->Board.Balance.read([&](const CentreBalance &Parts) {
     return Parts.stay({Request.Service, Model});
   });
@@ -121,28 +122,29 @@
   return static_cast<double>(Drawn) >= Stay * static_cast<double>(StayScale);
 }
 
-bool RelayChoice::mayGoOn(const RelayRequest &Request, const RelayRun &Run) {
+bool RelayPolicy::mayRetry(const RelayRequest &Request,
+                           const RelayProgress &Progress) {
   const HttpRoute &Route = *Request.Route;
-  if (Run.Tried.size() >= MostSends)
+  if (Progress.Tried.size() >= MostSends)
     return false;
-  return Run.MayHaveRun == 0 ||
-         (Route.mayRepeat() && Run.MayHaveRun < Route.MaxAttempts);
+  return Progress.MayHaveRun == 0 ||
+         (Route.mayRepeat() && Progress.MayHaveRun < Route.MaxAttempts);
 }
 
-bool RelayChoice::mayLeave(const RelayRequest &Request, const RelayRun &Run,
-                           TimePoint Now) {
-  RelayRun After = Run;
+bool RelayPolicy::mayAbandon(const RelayRequest &Request,
+                             const RelayProgress &Progress, TimePoint Now) {
+  RelayProgress After = Progress;
   ++After.MayHaveRun;
-  if (!Request.Route->mayRepeat() || !mayGoOn(Request, After))
+  if (!Request.Route->mayRepeat() || !mayRetry(Request, After))
     return false;
   std::optional<ChosenTarget> Other = this->choose(Request, After, Now);
-  return Other && this->maySpend(Request.Service, Now) &&
+  return Other && this->hasRetryLeft(Request.Service, Now) &&
          this->Board.Vitals.read([&](const VitalsTable &Vitals) {
            return !Vitals.isSuspect(Other->To.Target->life(), Now);
          });
 }
 
-bool RelayChoice::maySpend(const ServiceId &Service, TimePoint Now) {
+bool RelayPolicy::hasRetryLeft(const ServiceId &Service, TimePoint Now) {
   double Share = this->Board.evenShare();
   return this->Board.Spend.write([&](SpendTable &Rows) {
     auto At = Rows.find(Service);
@@ -150,7 +152,7 @@
   });
 }
 
-bool RelayChoice::spend(const ServiceId &Service, TimePoint Now) {
+bool RelayPolicy::takeRetry(const ServiceId &Service, TimePoint Now) {
   double Share = this->Board.evenShare();
   bool Taken = this->Board.Spend.write([&](SpendTable &Rows) {
     auto At = Rows.find(Service);
--- a/src/entry/relay_request.cpp
+++ b/src/entry/relay_request.cpp
@@ -22,7 +22,7 @@
 ContentHash contentOf(const RelayRequest &Request) {
   const std::string &Uri = Request.Head.getURI();
   const std::string &Caller =
-      Request.Workspace.empty() ? Request.Facts.ApiKey : Request.Workspace.Text;
+      Request.Workspace.empty() ? Request.Info.ApiKey : Request.Workspace.Text;
   std::uint64_t Path = hashText(Uri.substr(0, Uri.find('?')));
   return ContentHash(hashText(Request.Body, hashText(Caller, Path)));
 }
@@ -44,16 +44,16 @@
       return makeError(ErrorKind::NotReady,
                        "the store does not confirm that keys are current",
                        UsualRepair);
-    auto Owner = Config->Keys.find(Request.Facts.ApiKey);
+    auto Owner = Config->Keys.find(Request.Info.ApiKey);
     if (Owner == Config->Keys.end())
       return makeError(ErrorKind::Unauthenticated, "no workspace has this key");
     Workspace = Owner->second.Workspace;
     Request.Owner = &Owner->second;
   }
-  Millis Wait = Request.Facts.Deadline.value_or(DefaultDeadline);
+  Millis Wait = Request.Info.Timeout.value_or(DefaultDeadline);
   if (Route->Timeout.count() > 0)
     Wait = std::min(Wait, Route->Timeout);
-  Request.Deadline = Request.Arrived + Wait;
+  Request.Deadline = Request.ArrivedAt + Wait;
   Request.Config = std::move(Config);
   Request.Route = Route;
   Request.Workspace = std::move(Workspace);
@@ -64,7 +64,7 @@
 
 Millis comeBackAfter(const RelayRequest &Request) {
   Millis Most =
-      std::chrono::duration_cast<Millis>(Request.Deadline - Request.Arrived) /
+      std::chrono::duration_cast<Millis>(Request.Deadline - Request.ArrivedAt) /
       CallerPatience;
   return std::min(UsualRepair, Most);
 }
--- a/src/entry/relay_request.h
+++ b/src/entry/relay_request.h
@@ -16,8 +16,8 @@
 struct RelayRequest {
   Poco::Net::HTTPRequest Head;
   std::string Body;
-  CallerFacts Facts;
-  TimePoint Arrived;
+  CallerRequestInfo Info;
+  TimePoint ArrivedAt;
   TimePoint Deadline;
   /// The configuration under which it was admitted last; keeps Route alive.
   RoutingConfigRef Config;
@@ -35,23 +35,23 @@
 };
 
 /// The state of the registry that a target was chosen by.
-struct ChoiceBasis {
+struct RegistrySnapshot {
   /// End of its records; the same on all nodes.
-  StorePosition Registry;
+  StorePosition Position;
   /// Since when that may have changed without this node's knowing.
   Millis Age{0};
 };
 
 /// How a request's sends went so far.
-struct RelayRun {
+struct RelayProgress {
   /// Targets that it was offered to.
   std::vector<VmId> Tried;
   /// Sends that reached, or may have reached, a target.
-  unsigned Sent = 0;
+  unsigned SentCount = 0;
   /// Of these, how many may have begun to run.
   unsigned MayHaveRun = 0;
   /// Of the newest choice; nothing before the first.
-  std::optional<ChoiceBasis> Basis;
+  std::optional<RegistrySnapshot> Snapshot;
   /// Last event that the caller was given.
   std::optional<std::uint64_t> LastEvent;
   /// From the request's arrival to the first byte of an answer.
--- a/src/entry/answer_pass.h
+++ b/src/entry/response_forwarder.h
@@ -4,8 +4,8 @@
 
 #pragma once
 
-#include "entry/answer_wait.h"
-#include "entry/target_pool.h"
+#include "entry/response_wait.h"
+#include "entry/target_connection_pool.h"
 #include "policy/connections.h"
 
 namespace waycove {
@@ -13,22 +13,23 @@
 /// Reads targets' answers and passes them on to callers: whole ones at once,
 /// streams event by event. What is not certainly the target's own, whole and
 /// in order is not passed on. Thread-safe.
-template <CallerProtocol Protocol> class AnswerPass {
+template <CallerProtocol Protocol> class ResponseForwarder {
 public:
-  AnswerPass(EntryBoard &Board, TargetPool &Pool, AnswerWait &Wait,
-             RelayNotes &Notes)
-      : Board(Board), Pool(Pool), Wait(Wait), Notes(Notes) {}
+  ResponseForwarder(EntryBoard &Board, TargetConnectionPool &Pool,
+                    ResponseWait &Waiter, RelayLog &Log)
+      : Board(Board), Pool(Pool), Waiter(Waiter), Log(Log) {}
 
   /// Reads the answer to the attempt's send and gives it to the caller; how the
   /// attempt ends.
-  AttemptEnd read(RelayExchange &Ex, RelayAttempt &Try) {
-    std::string &Buffer = Try.Connection->buffer();
+  AttemptEnd read(RelayExchange &Ex, RelayAttempt &Attempt) {
+    std::string &Buffer = Attempt.Connection->buffer();
     for (unsigned Skipped = 0; Skipped <= MostSkipped;) {
       std::optional<std::size_t> Length = headLength(Buffer);
       if (!Length) {
         if (Buffer.size() > MostHeadBytes)
           break;
-        if (std::optional<AttemptEnd> End = this->Wait.forBytes(Ex, Try))
+        if (std::optional<AttemptEnd> End =
+                this->Waiter.waitForBytes(Ex, Attempt))
           return *End;
         continue;
       }
@@ -42,17 +43,17 @@
       auto Body = responseBody(*Head, Ex.Request.Head.getMethod());
       if (!Body)
         break;
-      TargetFacts Facts = Protocol::readTarget(*Head);
-      if (Facts.Request == Ex.Request.Facts.Id)
-        return this->takeAnswer(Ex, Try, *Head, Facts, *Body);
+      TargetResponseInfo Info = Protocol::readResponseInfo(*Head);
+      if (Info.Id == Ex.Request.Info.Id)
+        return this->forwardResponse(Ex, Attempt, *Head, Info, *Body);
       // A late answer to a request before ours: drop it, ours follows.
       ++Skipped;
       std::string Dropped;
-      if (AttemptEnd End = this->Wait.readBody(Ex, Try, *Body, Dropped);
+      if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, *Body, Dropped);
           End != AttemptEnd::Done)
         return End;
     }
-    Try.Reason = "what came is no answer";
+    Attempt.Reason = "what came is no answer";
     return AttemptEnd::Broken;
   }
 
@@ -69,87 +70,89 @@
   /// Late answers to requests before ours that are skipped on a connection.
   static constexpr unsigned MostSkipped = 3;
 
-  AttemptEnd takeAnswer(RelayExchange &Ex, RelayAttempt &Try,
-                        const Poco::Net::HTTPResponse &Head,
-                        const TargetFacts &Facts, BodyDecoder &Body) {
+  AttemptEnd forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
+                             const Poco::Net::HTTPResponse &Head,
+                             const TargetResponseInfo &Info,
+                             BodyDecoder &Body) {
     int Status = Head.getStatus();
-    if (Facts.NotRun) {
+    if (Info.NotRun) {
       std::string Unused;
-      if (this->Wait.readBody(Ex, Try, Body, Unused) == AttemptEnd::Done)
-        this->keepConnection(Ex, Try, Head, Facts, Body);
-      Try.Reason = "not taken, status " + std::to_string(Status);
-      this->Notes.suspect(Try.To.Target->life(),
-                          Facts.Mistaken ? MistakenTime : FullTime, Try.Reason,
-                          Ex.Request.Facts.Id);
+      if (this->Waiter.readBody(Ex, Attempt, Body, Unused) == AttemptEnd::Done)
+        this->keepConnection(Ex, Attempt, Head, Info, Body);
+      Attempt.Reason = "not taken, status " + std::to_string(Status);
+      this->Log.suspectTarget(Attempt.To.Target->life(),
+                        Info.WrongTarget ? MistakenTime : FullTime,
+                        Attempt.Reason, Ex.Request.Info.Id);
       return AttemptEnd::Refused;
     }
-    this->noteFirstByte(Ex, Try);
+    this->recordFirstByte(Ex, Attempt);
     this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onAnswerHead(Try.To.Target->life(), !Head.getKeepAlive());
+      Vitals.onAnswerHead(Attempt.To.Target->life(), !Head.getKeepAlive());
     });
     bool Success = Status >= 200 && Status < 300;
-    Try.Succeeds = Success;
-    if (Success && (!Facts.Signed || Head.has("Content-Encoding"))) {
-      Try.Reason = "a success that is not the target's own answer";
+    Attempt.Succeeded = Success;
+    if (Success && (!Info.Signed || Head.has("Content-Encoding"))) {
+      Attempt.Reason = "a success that is not the target's own answer";
       return AttemptEnd::Broken;
     }
     if (Success && Ex.Request.Route->Kind == RouteKind::Stream &&
         Head.getContentType().rfind("text/event-stream", 0) == 0)
-      return this->passStream(Ex, Try, Head, Facts, Body);
-    return this->passWhole(Ex, Try, Head, Facts, Body);
+      return this->forwardStream(Ex, Attempt, Head, Info, Body);
+    return this->forwardWhole(Ex, Attempt, Head, Info, Body);
   }
 
-  AttemptEnd passWhole(RelayExchange &Ex, RelayAttempt &Try,
-                       const Poco::Net::HTTPResponse &Head,
-                       const TargetFacts &Facts, BodyDecoder &Body) {
+  AttemptEnd forwardWhole(RelayExchange &Ex, RelayAttempt &Attempt,
+                          const Poco::Net::HTTPResponse &Head,
+                          const TargetResponseInfo &Info, BodyDecoder &Body) {
     std::string Bytes;
-    if (AttemptEnd End = this->Wait.readBody(Ex, Try, Body, Bytes);
+    if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
         End != AttemptEnd::Done)
       return End;
-    this->keepConnection(Ex, Try, Head, Facts, Body);
-    if (Ex.Answer.hasBegun()) {
-      Try.Reason = "status " + std::to_string(Head.getStatus()) +
-                   " where a stream was to go on";
+    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    if (Ex.Response.hasStarted()) {
+      Attempt.Reason = "status " + std::to_string(Head.getStatus()) +
+                       " where a stream was to go on";
       return AttemptEnd::Broken;
     }
     if (Head.getStatus() >= 500 && Ex.Request.Route->mayRepeat()) {
-      Try.Reason =
+      Attempt.Reason =
           "the target failed, status " + std::to_string(Head.getStatus());
-      Ex.Run.Failure = Head;
-      Ex.Run.FailureBody = std::move(Bytes);
+      Ex.Progress.Failure = Head;
+      Ex.Progress.FailureBody = std::move(Bytes);
       return AttemptEnd::Broken;
     }
     return Ex.deliver(Head, Bytes) ? AttemptEnd::Done : AttemptEnd::CallerGone;
   }
 
   /// Passes whole events on as they come, from where the caller is.
-  AttemptEnd passStream(RelayExchange &Ex, RelayAttempt &Try,
-                        const Poco::Net::HTTPResponse &Head,
-                        const TargetFacts &Facts, BodyDecoder &Body) {
+  AttemptEnd forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
+                           const Poco::Net::HTTPResponse &Head,
+                           const TargetResponseInfo &Info, BodyDecoder &Body) {
     std::string Payload;
     bool FirstEvent = true;
     while (true) {
-      Body.feed(Try.Connection->buffer(), Payload);
+      Body.feed(Attempt.Connection->buffer(), Payload);
       std::string Ready;
       bool InOrder = takeEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
         this->Board.Vitals.write([&](VitalsTable &Vitals) {
-          Vitals.onProgress(Try.To.Target->life(), Try.LastByte);
+          Vitals.onProgress(Attempt.To.Target->life(), Attempt.LastByte);
         });
       // What came in order counts as had by the caller: it goes out first.
-      if (!sendEvents(Ex, Head, Ready))
+      if (!forwardEvents(Ex, Head, Ready))
         return AttemptEnd::CallerGone;
       if (!InOrder) {
-        Try.Reason = "an event is out of order";
+        Attempt.Reason = "an event is out of order";
         return AttemptEnd::Broken;
       }
       if (Body.isDone())
-        return this->endStream(Ex, Try, Head, Facts, Body, Payload);
-      if (Body.isBad()) {
-        Try.Reason = "the stream's framing is damaged";
+        return this->endStream(Ex, Attempt, Head, Info, Body, Payload);
+      if (Body.isMalformed()) {
+        Attempt.Reason = "the stream's framing is damaged";
         return AttemptEnd::Broken;
       }
-      if (std::optional<AttemptEnd> End = this->Wait.forBody(Ex, Try, Body))
+      if (std::optional<AttemptEnd> End =
+              this->Waiter.waitForBody(Ex, Attempt, Body))
         return *End;
     }
   }
@@ -159,87 +162,89 @@
   static bool takeEvents(RelayExchange &Ex, std::string &Payload,
                          bool &FirstEvent, std::string &Ready) {
     while (std::optional<StreamEvent> Event = takeEvent(Payload)) {
-      if (!followsOn(Ex, *Event, FirstEvent))
+      if (!isInOrder(Ex, *Event, FirstEvent))
         return false;
       FirstEvent = false;
       Ready += Event->Bytes;
       if (Event->Id)
-        Ex.Run.LastEvent = Event->Id;
+        Ex.Progress.LastEvent = Event->Id;
     }
     return true;
   }
 
-  static bool followsOn(const RelayExchange &Ex, const StreamEvent &Event,
+  static bool isInOrder(const RelayExchange &Ex, const StreamEvent &Event,
                         bool First) {
-    if (!Event.Id || !Ex.Run.LastEvent)
+    if (!Event.Id || !Ex.Progress.LastEvent)
       return true;
     // A resumed stream has to go on right behind the last event.
-    return First ? *Event.Id == *Ex.Run.LastEvent + 1
-                 : *Event.Id > *Ex.Run.LastEvent;
+    return First ? *Event.Id == *Ex.Progress.LastEvent + 1
+                 : *Event.Id > *Ex.Progress.LastEvent;
   }
 
-  static bool sendEvents(RelayExchange &Ex, const Poco::Net::HTTPResponse &Head,
-                         const std::string &Ready) {
+  static bool forwardEvents(RelayExchange &Ex,
+                            const Poco::Net::HTTPResponse &Head,
+                            const std::string &Ready) {
     if (Ready.empty())
       return true;
-    if (!Ex.Answer.hasBegun()) {
+    if (!Ex.Response.hasStarted()) {
       Poco::Net::HTTPResponse Out(Head.getStatus(), Head.getReason());
       copyEndToEnd(Head, Out);
-      if (Ex.Answer.begin(Out, Ex.writeUntil()) != IoEnd::Ok)
+      if (Ex.Response.beginStream(Out, Ex.writeUntil()) != IoStatus::Ok)
         return false;
     }
-    return Ex.Answer.part(Ready, Ex.writeUntil()) == IoEnd::Ok;
+    return Ex.Response.sendChunk(Ready, Ex.writeUntil()) == IoStatus::Ok;
   }
 
-  AttemptEnd endStream(RelayExchange &Ex, RelayAttempt &Try,
+  AttemptEnd endStream(RelayExchange &Ex, RelayAttempt &Attempt,
                        const Poco::Net::HTTPResponse &Head,
-                       const TargetFacts &Facts, const BodyDecoder &Body,
+                       const TargetResponseInfo &Info, const BodyDecoder &Body,
                        const std::string &Rest) {
     if (!Rest.empty()) {
-      Try.Reason = "the stream ends within an event";
+      Attempt.Reason = "the stream ends within an event";
       return AttemptEnd::Broken;
     }
-    this->keepConnection(Ex, Try, Head, Facts, Body);
-    if (!Ex.Answer.hasBegun())
+    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    if (!Ex.Response.hasStarted())
       return Ex.deliver(Head, "") ? AttemptEnd::Done : AttemptEnd::CallerGone;
-    return Ex.Answer.end(Ex.writeUntil()) == IoEnd::Ok ? AttemptEnd::Done
-                                                       : AttemptEnd::CallerGone;
+    return Ex.Response.endStream(Ex.writeUntil()) == IoStatus::Ok
+               ? AttemptEnd::Done
+               : AttemptEnd::CallerGone;
   }
 
-  void keepConnection(const RelayExchange &Ex, RelayAttempt &Try,
+  void keepConnection(const RelayExchange &Ex, RelayAttempt &Attempt,
                       const Poco::Net::HTTPResponse &Head,
-                      const TargetFacts &Facts, const BodyDecoder &Body) {
+                      const TargetResponseInfo &Info, const BodyDecoder &Body) {
     if (!Head.getKeepAlive() || Body.kind() == Framing::UntilClose)
       return;
-    const VmLife Target = Try.To.Target->life();
+    const VmLife Target = Attempt.To.Target->life();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
     unsigned Most = keptConnections(Spec ? Spec->MaxConnections : 1,
                                     this->Board.evenShare(),
                                     this->Board.Config.Node, Target.Id);
-    this->Pool.keep(Target, std::move(*Try.Connection),
-                    Facts.KeepAlive.value_or(Millis(0)), Most,
+    this->Pool.put(Target, std::move(*Attempt.Connection),
+                    Info.KeepAlive.value_or(Millis(0)), Most,
                     SystemClock{}.now());
-    Try.Connection.reset();
+    Attempt.Connection.reset();
   }
 
-  void noteFirstByte(const RelayExchange &Ex, RelayAttempt &Try) {
+  void recordFirstByte(const RelayExchange &Ex, RelayAttempt &Attempt) {
     TimePoint Now = SystemClock{}.now();
-    Try.FirstByteSeen = true;
-    if (!Ex.Run.FirstByte)
-      Ex.Run.FirstByte =
-          std::chrono::duration_cast<Millis>(Now - Ex.Request.Arrived);
+    Attempt.FirstByteSeen = true;
+    if (!Ex.Progress.FirstByte)
+      Ex.Progress.FirstByte =
+          std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt);
     this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onFirstByte(Try.To.Target->life(), Try.SentAt,
-                         static_cast<double>(Ex.Request.Facts.PromptTokens),
+      Vitals.onFirstByte(Attempt.To.Target->life(), Attempt.SentAt,
+                         static_cast<double>(Ex.Request.Info.PromptTokens),
                          Now);
     });
-    this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.Arrived);
+    this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.ArrivedAt);
   }
 
   EntryBoard &Board;
-  TargetPool &Pool;
-  AnswerWait &Wait;
-  RelayNotes &Notes;
+  TargetConnectionPool &Pool;
+  ResponseWait &Waiter;
+  RelayLog &Log;
 };
 
 } // namespace waycove
--- a/src/entry/answer_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "entry/answer_wait.h"
+#include "entry/response_wait.h"
 
 namespace waycove {
 
@@ -32,44 +32,45 @@
   double FirstByteMs = 0;
 };
 
-std::optional<AttemptEnd> takeBytes(RelayAttempt &Try, TimePoint Now) {
-  IoEnd End = Try.Connection->fillNow();
-  if (End == IoEnd::Ok || End == IoEnd::Timeout) {
-    Try.LastByte = Now;
+std::optional<AttemptEnd> takeBytes(RelayAttempt &Attempt, TimePoint Now) {
+  IoStatus End = Attempt.Connection->fillNow();
+  if (End == IoStatus::Ok || End == IoStatus::Timeout) {
+    Attempt.LastByte = Now;
     return std::nullopt;
   }
-  Try.Lost = true;
-  Try.Reason = End == IoEnd::Closed ? ClosedReason : "the connection broke";
+  Attempt.ConnectionLost = true;
+  Attempt.Reason =
+      End == IoStatus::Closed ? ClosedReason : "the connection broke";
   return AttemptEnd::Broken;
 }
 
 } // namespace
 
-std::optional<AttemptEnd> AnswerWait::forBytes(RelayExchange &Ex,
-                                               RelayAttempt &Try) {
-  TimePoint Until = std::min(Ex.Request.Deadline, Try.LastByte + FirstLook);
+std::optional<AttemptEnd> ResponseWait::waitForBytes(RelayExchange &Ex,
+                                                     RelayAttempt &Attempt) {
+  TimePoint Until = std::min(Ex.Request.Deadline, Attempt.LastByte + FirstLook);
   while (true) {
-    Side News = waitEither(*Try.Connection,
-                           Try.WatchCaller ? &Ex.Caller : nullptr, Until);
+    Side News = waitEither(*Attempt.Connection,
+                           Attempt.WatchCaller ? &Ex.Caller : nullptr, Until);
     TimePoint Now = SystemClock{}.now();
     if (News == Side::Target)
-      return takeBytes(Try, Now);
+      return takeBytes(Attempt, Now);
     if (News == Side::Caller) {
-      if (Ex.Caller.isGone()) {
-        Try.Reason = "the caller left";
+      if (Ex.Caller.isClosedByPeer()) {
+        Attempt.Reason = "the caller left";
         return AttemptEnd::CallerGone;
       }
-      Try.WatchCaller = false;
+      Attempt.WatchCaller = false;
       continue;
     }
     if (Now >= Ex.Request.Deadline) {
-      Try.Reason = "the deadline passed";
+      Attempt.Reason = "the deadline passed";
       return AttemptEnd::Stalled;
     }
-    if (this->isSilentTooLong(Ex, Try, Now) &&
-        this->Choice.mayLeave(Ex.Request, Ex.Run, Now)) {
-      this->Notes.suspect(Try.To.Target->life(), SilentTime, Try.Reason,
-                          Ex.Request.Facts.Id);
+    if (this->isSilentTooLong(Ex, Attempt, Now) &&
+        this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
+      this->Log.suspectTarget(Attempt.To.Target->life(), SilentTime, Attempt.Reason,
+                        Ex.Request.Info.Id);
       return AttemptEnd::Stalled;
     }
     // Look again in a while: others may show that the target stands still.
@@ -77,53 +78,54 @@
   }
 }
 
-std::optional<AttemptEnd>
-AnswerWait::forBody(RelayExchange &Ex, RelayAttempt &Try, BodyDecoder &Body) {
-  std::optional<AttemptEnd> End = this->forBytes(Ex, Try);
+std::optional<AttemptEnd> ResponseWait::waitForBody(RelayExchange &Ex,
+                                                    RelayAttempt &Attempt,
+                                                    BodyDecoder &Body) {
+  std::optional<AttemptEnd> End = this->waitForBytes(Ex, Attempt);
   if (End != AttemptEnd::Broken || Body.kind() != Framing::UntilClose ||
-      Try.Reason != ClosedReason)
+      Attempt.Reason != ClosedReason)
     return End;
   Body.close();
   return std::nullopt;
 }
 
-AttemptEnd AnswerWait::readBody(RelayExchange &Ex, RelayAttempt &Try,
-                                BodyDecoder &Body, std::string &Into) {
+AttemptEnd ResponseWait::readBody(RelayExchange &Ex, RelayAttempt &Attempt,
+                                  BodyDecoder &Body, std::string &Into) {
   while (true) {
-    Body.feed(Try.Connection->buffer(), Into);
+    Body.feed(Attempt.Connection->buffer(), Into);
     if (Body.isDone())
       return AttemptEnd::Done;
-    if (Body.isBad() || Into.size() > MostHeld) {
-      Try.Reason = "the answer's framing is damaged";
+    if (Body.isMalformed() || Into.size() > MostHeld) {
+      Attempt.Reason = "the answer's framing is damaged";
       return AttemptEnd::Broken;
     }
-    if (std::optional<AttemptEnd> End = this->forBody(Ex, Try, Body))
+    if (std::optional<AttemptEnd> End = this->waitForBody(Ex, Attempt, Body))
       return *End;
   }
 }
 
 /// Whether the target has to be taken for standing still. A slow answer
 /// alone does not show it: a busy target gives its other answers meanwhile.
-bool AnswerWait::isSilentTooLong(const RelayExchange &Ex, RelayAttempt &Try,
-                                 TimePoint Now) {
+bool ResponseWait::isSilentTooLong(const RelayExchange &Ex,
+                                   RelayAttempt &Attempt, TimePoint Now) {
   const HttpRoute &Route = *Ex.Request.Route;
-  const VmLife Target = Try.To.Target->life();
+  const VmLife Target = Attempt.To.Target->life();
   Sight Seen = this->Board.Vitals.read([&](const VitalsTable &Rows) {
     return Sight{Rows.standsStill(Target, Now), Rows.silence(Target, Now),
                  Rows.hasNews(Now) ? 0 : Rows.of(Target).FirstByteMs};
   });
-  Millis Goal = Try.FirstByteSeen ? Route.PauseGoal : Route.Goal;
+  Millis Goal = Attempt.FirstByteSeen ? Route.PauseGoal : Route.Goal;
   Millis Patience = std::max(LeastPatience, 2 * Goal);
-  if (!Try.FirstByteSeen)
+  if (!Attempt.FirstByteSeen)
     Patience = std::max(Patience, Millis(static_cast<std::int64_t>(
                                       SlowFactor * Seen.FirstByteMs)));
-  bool Still = Seen.StandsStill && !Try.FirstByteSeen;
+  bool Still = Seen.StandsStill && !Attempt.FirstByteSeen;
   bool TooLong =
-      Now - Try.LastByte >= Patience && Seen.Silence >= LeastPatience;
+      Now - Attempt.LastByte >= Patience && Seen.Silence >= LeastPatience;
   if (Still)
-    Try.Reason = "none of its answers moves";
+    Attempt.Reason = "none of its answers moves";
   else if (TooLong)
-    Try.Reason = "silent for " + std::to_string(Patience.count()) + " ms";
+    Attempt.Reason = "silent for " + std::to_string(Patience.count()) + " ms";
   return Still || TooLong;
 }
 
--- a/src/entry/target_pool.cpp
+++ b/src/entry/target_connection_pool.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "entry/target_pool.h"
+#include "entry/target_connection_pool.h"
 
 namespace waycove {
 
@@ -17,23 +17,24 @@
 
 } // namespace
 
-std::optional<Channel> TargetPool::take(const VmLife &Target, TimePoint Now) {
+std::optional<Channel> TargetConnectionPool::take(const VmLife &Target,
+                                                  TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   auto At = this->Rows.find(Target);
   if (At == this->Rows.end())
     return std::nullopt;
   while (!At->second.empty()) {
-    Kept Row = std::move(At->second.back());
+    IdleConnection Row = std::move(At->second.back());
     At->second.pop_back();
     // Bytes that wait here belong to no request of ours.
-    if (Row.GoodUntil > Now && Row.Connection.fillNow() == IoEnd::Timeout)
+    if (Row.GoodUntil > Now && Row.Connection.fillNow() == IoStatus::Timeout)
       return std::move(Row.Connection);
   }
   return std::nullopt;
 }
 
-void TargetPool::keep(const VmLife &Target, Channel Connection,
-                      Millis KeepAlive, unsigned Most, TimePoint Now) {
+void TargetConnectionPool::put(const VmLife &Target, Channel Connection,
+                               Millis KeepAlive, unsigned Most, TimePoint Now) {
   Millis Rest = KeepAlive.count() > 0 ? KeepAlive - RestMargin : ShortRest;
   if (Rest.count() <= 0 || Most == 0 || !Connection.buffer().empty())
     return;
@@ -44,11 +45,11 @@
     Row.pop_front();
 }
 
-void TargetPool::sweep(const std::function<bool(const VmLife &)> &IsListed,
-                       TimePoint Now) {
+void TargetConnectionPool::sweep(
+    const std::function<bool(const VmLife &)> &IsListed, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   for (auto At = this->Rows.begin(); At != this->Rows.end();) {
-    std::deque<Kept> &Row = At->second;
+    std::deque<IdleConnection> &Row = At->second;
     // The oldest stand in front.
     while (!Row.empty() && Row.front().GoodUntil <= Now)
       Row.pop_front();
--- a/src/entry/target_pool.h
+++ b/src/entry/target_connection_pool.h
@@ -15,25 +15,25 @@
 
 /// Kept connections to targets, by life: a new one at an old address, also
 /// under the same id, never gets a connection of the one before. Thread-safe.
-class TargetPool {
+class TargetConnectionPool {
 public:
   /// A kept connection that is still good; nothing where there is none.
   std::optional<Channel> take(const VmLife &Target, TimePoint Now);
   /// Keeps a connection whose last answer was whole for \p KeepAlive, unless
   /// \p Most to this target rest already.
-  void keep(const VmLife &Target, Channel Connection, Millis KeepAlive,
-            unsigned Most, TimePoint Now);
+  void put(const VmLife &Target, Channel Connection, Millis KeepAlive,
+           unsigned Most, TimePoint Now);
   /// Closes what has rested too long, and all of targets not listed.
   void sweep(const std::function<bool(const VmLife &)> &IsListed,
              TimePoint Now);
 
 private:
-  struct Kept {
+  struct IdleConnection {
     Channel Connection;
     TimePoint GoodUntil;
   };
   std::mutex Mutex;
-  std::map<VmLife, std::deque<Kept>> Rows;
+  std::map<VmLife, std::deque<IdleConnection>> Rows;
 };
 
 } // namespace waycove
--- a/src/main/commands.cpp
+++ b/src/main/commands.cpp
@@ -53,7 +53,7 @@
 
 private:
   Metrics Unused;
-  HttpCaller Caller;
+  HttpClient Caller;
   std::string Key;
 };
 
--- a/src/main/waycoved.cpp
+++ b/src/main/waycoved.cpp
@@ -124,7 +124,7 @@
   auto Until = BootClock::now() + Config.Entry->Grace - StopMargin;
   while (!Process.isDrained() && BootClock::now() < Until)
     std::this_thread::sleep_for(Millis(50));
-  Process.noteStopped();
+  Process.logStopped();
   stopLogging();
   // Threads may still wait for callers that rest; nothing is kept on disk.
   std::_Exit(Process.inFlight() == 0 ? 0 : ExitCut);
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -40,28 +40,28 @@
   this->Socket.setNoDelay(true);
 }
 
-IoEnd Channel::dial(const VmAddress &To, TimePoint Until,
-                    std::optional<Channel> &Into) {
+IoStatus Channel::connect(const VmAddress &To, TimePoint Until,
+                          std::optional<Channel> &Into) {
   try {
     Poco::Net::StreamSocket Socket;
     Socket.connect(Poco::Net::SocketAddress(To.Host, To.Port),
                    Poco::Timespan(std::max(millisLeft(Until), 1) * 1000LL));
     Into.emplace(Socket);
-    return IoEnd::Ok;
+    return IoStatus::Ok;
   } catch (const Poco::TimeoutException &) {
-    return IoEnd::Timeout;
+    return IoStatus::Timeout;
   } catch (const Poco::Exception &) {
     // The caller logs the end of the attempt with the target's name.
-    return IoEnd::Broken;
+    return IoStatus::Broken;
   }
 }
 
-void Channel::giveUpUnacknowledged(Millis Time) {
+void Channel::setAckTimeout(Millis Time) {
   this->Socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT,
                          static_cast<int>(Time.count()));
 }
 
-IoEnd Channel::fillNow() {
+IoStatus Channel::fillNow() {
   std::array<char, ReadBytes> Part{};
   ssize_t Got = 0;
   do
@@ -69,38 +69,38 @@
   while (Got < 0 && errno == EINTR);
   if (Got > 0) {
     this->Buffer.append(Part.data(), static_cast<std::size_t>(Got));
-    return IoEnd::Ok;
+    return IoStatus::Ok;
   }
   if (Got == 0)
-    return IoEnd::Closed;
-  return errno == EAGAIN || errno == EWOULDBLOCK ? IoEnd::Timeout
-                                                 : IoEnd::Broken;
+    return IoStatus::Closed;
+  return errno == EAGAIN || errno == EWOULDBLOCK ? IoStatus::Timeout
+                                                 : IoStatus::Broken;
 }
 
-IoEnd Channel::waitReadable(TimePoint Until) const {
+IoStatus Channel::waitReadable(TimePoint Until) const {
   pollfd Row{this->descriptor(), POLLIN, 0};
   int Ready = pollUntil(&Row, 1, Until);
   if (Ready < 0)
-    return IoEnd::Broken;
-  return Ready == 0 ? IoEnd::Timeout : IoEnd::Ok;
+    return IoStatus::Broken;
+  return Ready == 0 ? IoStatus::Timeout : IoStatus::Ok;
 }
 
 bool Channel::isReadable() const {
-  return this->waitReadable(TimePoint()) != IoEnd::Timeout;
+  return this->waitReadable(TimePoint()) != IoStatus::Timeout;
 }
 
 void Channel::shutdown() { ::shutdown(this->descriptor(), SHUT_RDWR); }
 
-IoEnd Channel::fill(TimePoint Until) {
+IoStatus Channel::fill(TimePoint Until) {
   while (true) {
-    if (IoEnd End = this->waitReadable(Until); End != IoEnd::Ok)
+    if (IoStatus End = this->waitReadable(Until); End != IoStatus::Ok)
       return End;
-    if (IoEnd End = this->fillNow(); End != IoEnd::Timeout)
+    if (IoStatus End = this->fillNow(); End != IoStatus::Timeout)
       return End;
   }
 }
 
-IoEnd Channel::send(std::string_view Bytes, TimePoint Until) {
+IoStatus Channel::send(std::string_view Bytes, TimePoint Until) {
   while (!Bytes.empty()) {
     ssize_t Put = ::send(this->descriptor(), Bytes.data(), Bytes.size(),
                          MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -111,15 +111,15 @@
     if (errno == EINTR)
       continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK)
-      return IoEnd::Broken;
+      return IoStatus::Broken;
     pollfd Row{this->descriptor(), POLLOUT, 0};
     if (pollUntil(&Row, 1, Until) == 0)
-      return IoEnd::Timeout;
+      return IoStatus::Timeout;
   }
-  return IoEnd::Ok;
+  return IoStatus::Ok;
 }
 
-bool Channel::isGone() {
+bool Channel::isClosedByPeer() {
   char Byte = 0;
   ssize_t Got = ::recv(this->descriptor(), &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return Got == 0 ||
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -14,7 +14,7 @@
 namespace waycove {
 
 /// How a wait or a transfer on a connection ended.
-enum class IoEnd {
+enum class IoStatus {
   Ok,
   Timeout,
   /// The other end closed in good order.
@@ -30,26 +30,26 @@
   explicit Channel(const Poco::Net::StreamSocket &Socket);
 
   /// Connects to \p To. Errors: Timeout, and Broken where it was refused.
-  static IoEnd dial(const VmAddress &To, TimePoint Until,
-                    std::optional<Channel> &Into);
+  static IoStatus connect(const VmAddress &To, TimePoint Until,
+                          std::optional<Channel> &Into);
 
   /// Breaks the connection where bytes sent are not acknowledged for \p Time:
   /// a host without power says nothing else.
-  void giveUpUnacknowledged(Millis Time);
+  void setAckTimeout(Millis Time);
   /// Waits until there is something to read, an end too, and takes nothing.
-  IoEnd waitReadable(TimePoint Until) const;
+  IoStatus waitReadable(TimePoint Until) const;
   /// Whether something can be read now.
   bool isReadable() const;
   /// Ends both directions; whoever waits on it wakes.
   void shutdown();
   /// Waits for bytes and appends them to the buffer.
-  IoEnd fill(TimePoint Until);
+  IoStatus fill(TimePoint Until);
   /// Appends what is there without waiting; Timeout where nothing is.
-  IoEnd fillNow();
+  IoStatus fillNow();
   /// Sends all of \p Bytes, as fast as the other end reads.
-  IoEnd send(std::string_view Bytes, TimePoint Until);
+  IoStatus send(std::string_view Bytes, TimePoint Until);
   /// Whether the other end has closed or reset. Does not wait, takes nothing.
-  bool isGone();
+  bool isClosedByPeer();
   /// Closes so that the other end sees a reset, not an end in good order.
   void abort();
 
--- a/src/net/framing.cpp
+++ b/src/net/framing.cpp
@@ -54,8 +54,8 @@
 }
 
 /// The framing that the fields state; \p Default where they state none.
-std::optional<BodyDecoder> statedBody(const Poco::Net::HTTPMessage &Head,
-                                      Framing Default) {
+std::optional<BodyDecoder> declaredBody(const Poco::Net::HTTPMessage &Head,
+                                        Framing Default) {
   std::vector<std::string> Lengths;
   std::vector<std::string> Encodings;
   for (const auto &[Name, Value] : Head) {
@@ -115,7 +115,7 @@
     return;
   case Framing::Chunked:
     while (!this->Bad && this->Chunk != ChunkState::Done &&
-           this->chunkStep(Input, Into))
+           this->readChunkPart(Input, Into))
       ;
   }
 }
@@ -147,7 +147,7 @@
   return Line;
 }
 
-bool BodyDecoder::chunkStep(std::string &Input, std::string &Into) {
+bool BodyDecoder::readChunkPart(std::string &Input, std::string &Into) {
   if (this->Chunk == ChunkState::Data) {
     auto Take = static_cast<std::size_t>(
         std::min<std::uint64_t>(this->Left, Input.size()));
@@ -202,7 +202,7 @@
 }
 
 std::optional<BodyDecoder> requestBody(const Poco::Net::HTTPRequest &Head) {
-  return statedBody(Head, Framing::None);
+  return declaredBody(Head, Framing::None);
 }
 
 std::optional<BodyDecoder> responseBody(const Poco::Net::HTTPResponse &Head,
@@ -210,7 +210,7 @@
   int Status = Head.getStatus();
   if (Method == "HEAD" || Status == 204 || Status == 304 || Status < 200)
     return BodyDecoder(Framing::None, 0);
-  return statedBody(Head, Framing::UntilClose);
+  return declaredBody(Head, Framing::UntilClose);
 }
 
 void copyEndToEnd(const Poco::Net::MessageHeader &From,
--- a/src/net/framing.h
+++ b/src/net/framing.h
@@ -37,12 +37,12 @@
   void close();
   bool isDone() const;
   /// The bytes are no body in this framing.
-  bool isBad() const { return this->Bad; }
+  bool isMalformed() const { return this->Bad; }
   Framing kind() const { return this->Kind; }
 
 private:
   /// Reads chunks, their sizes and trailers; false where more is needed.
-  bool chunkStep(std::string &Input, std::string &Into);
+  bool readChunkPart(std::string &Input, std::string &Into);
   std::optional<std::string> takeLine(std::string &Input);
 
   enum class ChunkState { Size, Data, DataEnd, Trailer, Done };
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -72,14 +72,14 @@
 
 Poco::Timespan timespanOf(Millis Time) { return {Time.count() * 1000}; }
 
-HttpCaller::HttpCaller(const Endpoint &Server, Millis ConnectTimeout,
+HttpClient::HttpClient(const Endpoint &Server, Millis ConnectTimeout,
                        Metrics &Counters, ByteCounters Count)
     : Session(Server.Host, Server.Port), ConnectTimeout(ConnectTimeout),
       Counters(Counters), Count(Count) {
   this->Session.setKeepAlive(true);
 }
 
-absl::StatusOr<HttpReply> HttpCaller::call(const HttpCall &Call,
+absl::StatusOr<HttpReply> HttpClient::call(const HttpCall &Call,
                                            Millis Timeout) {
   std::lock_guard Lock(this->Mutex);
   TimePoint Now = BootClock::now();
@@ -106,13 +106,13 @@
   }
 }
 
-void HttpCaller::renew() {
+void HttpClient::renew() {
   std::lock_guard Lock(this->Mutex);
   this->Session.reset();
 }
 
 /// Gives up a call: what was not delivered yet must not be delivered later.
-void HttpCaller::drop() {
+void HttpClient::drop() {
   try {
     if (this->Session.connected())
       this->Session.socket().setLinger(true, 0);
@@ -122,7 +122,7 @@
   this->Session.reset();
 }
 
-absl::StatusOr<HttpReply> HttpCaller::exchange(const HttpCall &Call) {
+absl::StatusOr<HttpReply> HttpClient::exchange(const HttpCall &Call) {
   Poco::Net::HTTPRequest Request(Call.Method, Call.Path,
                                  Poco::Net::HTTPMessage::HTTP_1_1);
   Request.setKeepAlive(true);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -68,9 +68,9 @@
 
 /// A connection to one HTTP server that is kept open between calls. Calls are
 /// made one at a time. Thread-safe.
-class HttpCaller {
+class HttpClient {
 public:
-  HttpCaller(const Endpoint &Server, Millis ConnectTimeout, Metrics &Counters,
+  HttpClient(const Endpoint &Server, Millis ConnectTimeout, Metrics &Counters,
              ByteCounters Count);
 
   /// Makes one call. Errors: NoCapacity where nothing was written, and
--- a/tests/failure/entry_test.cpp
+++ b/tests/failure/entry_test.cpp
@@ -21,7 +21,7 @@
     "http caller: a kept connection: each call has its own timeout",
     "[failure]") {
   Metrics Unused;
-  HttpCaller Caller({"127.0.0.1", this->Run.platformPort()}, Millis(500),
+  HttpClient Caller({"127.0.0.1", this->Run.platformPort()}, Millis(500),
                     Unused,
                     {Counter::PlatformBytesIn, Counter::PlatformBytesOut});
   REQUIRE(Caller.call({"GET", "/stats", "", "", {}}, Millis(200)).ok());
--- a/tests/unit/framing_test.cpp
+++ b/tests/unit/framing_test.cpp
@@ -63,7 +63,7 @@
     std::string Input = Bytes;
     std::string Payload;
     Body.feed(Input, Payload);
-    CHECK(Body.isBad());
+    CHECK(Body.isMalformed());
     CHECK_FALSE(Body.isDone());
   }
 }
--- a/tests/unit/urgency_test.cpp
+++ b/tests/unit/urgency_test.cpp
@@ -54,23 +54,23 @@
 }
 
 TEST_CASE("platform headers: a request: both token counts are read", "[unit]") {
-  Poco::Net::HTTPRequest Asked;
-  Asked.set("X-Token-Count", "1460,80");
-  CallerFacts Facts = platform::Callers::readCaller(Asked);
-  CHECK(Facts.PromptTokens == 1460);
-  CHECK(Facts.AnswerTokens == 80);
-  Asked.set("X-Token-Count", "12");
-  CHECK(platform::Callers::readCaller(Asked).AnswerTokens == 0);
+  Poco::Net::HTTPRequest Request;
+  Request.set("X-Token-Count", "1460,80");
+  CallerRequestInfo Info = platform::Callers::readRequestInfo(Request);
+  CHECK(Info.PromptTokens == 1460);
+  CHECK(Info.MaxOutputTokens == 80);
+  Request.set("X-Token-Count", "12");
+  CHECK(platform::Callers::readRequestInfo(Request).MaxOutputTokens == 0);
 }
 
 TEST_CASE("platform headers: a send: its urgency is this node's to say",
           "[unit]") {
-  Poco::Net::HTTPRequest Asked("POST", "/x/");
-  Asked.set("X-Request-Priority", "0");
-  SendFacts Facts;
-  Facts.Urgency = 3;
-  CHECK(platform::Callers::makeSend(Asked, Facts).get("X-Request-Priority") ==
-        "3");
+  Poco::Net::HTTPRequest Request("POST", "/x/");
+  Request.set("X-Request-Priority", "0");
+  AttemptParams Info;
+  Info.Urgency = 3;
+  CHECK(platform::Callers::makeTargetRequest(Request, Info)
+            .get("X-Request-Priority") == "3");
 }
 
 } // namespace waycove::test
--- a/tools/without.py
+++ b/tools/without.py
@@ -25,8 +25,8 @@
         "Key.Epoch <= S.View.OwnedFloor", "false",
         "planner: lost, late"),
     "signed-success": (
-        "src/entry/answer_pass.h",
-        "!Facts.Signed || ", "",
+        "src/entry/response_forwarder.h",
+        "!Info.Signed || ", "",
         "entry: an unsigned"),
     "keys-proven": (
         "src/entry/relay_request.cpp",
@@ -45,7 +45,7 @@
         "CLOCK_BOOTTIME", "CLOCK_MONOTONIC",
         "suspended machine"),
     "blame": (
-        "src/entry/relay_choice.cpp",
+        "src/entry/relay_policy.cpp",
         "return Found == Verdict::Serve;", "return true;",
         "crashing request"),
     "blame-explains": (
@@ -155,7 +155,7 @@
         "leaving target: the reader loses"),
     "given-up-reset": (
         "src/entry/relay.h",
-        "if (End != AttemptEnd::Done && Try.Connection)", "if (false)",
+        "if (End != AttemptEnd::Done && Attempt.Connection)", "if (false)",
         "leaving target: a send"),
     "stale-proves-nothing": (
         "src/board/feed_cache.cpp",
@@ -183,8 +183,8 @@
         "(Late ? 1U : 0U)", "0U",
         "urgency: one is late"),
     "answer-id": (
-        "src/entry/answer_pass.h",
-        "Facts.Request == Ex.Request.Facts.Id", "true",
+        "src/entry/response_forwarder.h",
+        "Info.Id == Ex.Request.Info.Id", "true",
         "entry: another's answer"),
     "members-counted": (
         "src/edge/serve_model.h",
