--- a/src/entry/caller_protocol.h
+++ b/src/entry/caller_protocol.h
@@ -14,62 +14,62 @@
 
 namespace waycove {
 
-/// What a caller says in its request's head, in the project's words.
+/// What the head of a caller's request states.
 struct CallerRequestInfo {
   RequestId Id;
-  /// How long the caller will wait.
+  /// How long the caller waits.
   std::optional<Millis> Timeout;
   std::string ApiKey;
-  /// Empty where the request is for no model.
+  /// Empty if the request needs no model.
   std::string Model;
   std::uint64_t PromptTokens = 0;
-  /// The most that may come out.
+  /// Upper bound on generated tokens.
   std::uint64_t MaxOutputTokens = 0;
-  /// The last event of the stream that the caller has already.
+  /// The last event of the stream that the caller already has.
   std::optional<std::uint64_t> LastEvent;
 };
 
-/// What this node tells a target with one send of a request.
+/// What this node tells a target with one attempt of a request.
 struct AttemptParams {
-  /// The target that is meant; another at its address must not run it.
+  /// The intended target. Another one at its address must not run the request.
   VmId Target;
   WorkspaceId Workspace;
-  /// How long the target may work on it.
+  /// Time until the deadline.
   Millis Remaining{0};
-  /// 0 goes first, 9 last.
+  /// 0 is the most urgent, 9 the least.
   unsigned Urgency = 0;
   std::optional<std::uint64_t> LastEvent;
 };
 
-/// What a target says in its answer's head.
+/// What the head of a target's response states.
 struct TargetResponseInfo {
-  /// The request that it answers.
+  /// The request that it responds to.
   RequestId Id;
   /// The target says that it did not and will not run the request.
   bool NotRun = false;
-  /// It is not what the sender takes it for: another process, or no head of a
+  /// It is not the intended target: another process, or not the head of a
   /// group.
   bool WrongTarget = false;
-  /// The answer bears the target's signature.
+  /// The response carries the target's signature.
   bool Signed = false;
-  /// How long the target keeps an idle connection.
+  /// How long the target keeps an idle connection open.
   std::optional<Millis> KeepAlive;
 };
 
-/// How callers and targets spell all this on their connections.
+/// The HTTP conventions of a platform's callers and targets.
 template <typename P>
 concept CallerProtocol = requires(const Poco::Net::HTTPRequest &Request,
                                   const Poco::Net::HTTPResponse &Response,
-                                  const AttemptParams &Send,
-                                  Poco::Net::HTTPRequest &Out,
-                                  Poco::Net::HTTPResponse &Back,
-                                  const RequestId &Id, Millis Wait) {
+                                  const AttemptParams &Params,
+                                  Poco::Net::HTTPRequest &TargetRequest,
+                                  Poco::Net::HTTPResponse &CallerResponse,
+                                  const RequestId &Id, Millis RetryAfter) {
   { P::readRequestInfo(Request) } -> std::same_as<CallerRequestInfo>;
   { P::readResponseInfo(Response) } -> std::same_as<TargetResponseInfo>;
   {
-    P::makeTargetRequest(Request, Send)
+    P::makeTargetRequest(Request, Params)
     } -> std::same_as<Poco::Net::HTTPRequest>;
-  P::setResponseHeaders(Back, Id, Wait);
+  P::setResponseHeaders(CallerResponse, Id, RetryAfter);
 };
 
 } // namespace waycove
--- a/src/entry/caller_response.cpp
+++ b/src/entry/caller_response.cpp
@@ -10,14 +10,14 @@
 
 namespace waycove {
 
-IoStatus CallerResponse::recordStatus(IoStatus End) {
-  this->Failed = this->Failed || End != IoStatus::Ok;
-  return End;
+IoStatus CallerResponse::recordStatus(IoStatus Status) {
+  this->Failed = this->Failed || Status != IoStatus::Ok;
+  return Status;
 }
 
 IoStatus CallerResponse::sendHead(Poco::Net::HTTPResponse &Head,
                                   const std::string &Body, TimePoint Until) {
-  this->Begun = true;
+  this->Started = true;
   Head.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
   if (!this->KeepAlive)
     Head.set("Connection", "close");
@@ -27,13 +27,14 @@
 }
 
 IoStatus CallerResponse::sendWhole(Poco::Net::HTTPResponse Head,
-                               const std::string &Body, TimePoint Until) {
+                                   const std::string &Body, TimePoint Until) {
   if (Head.getStatus() != 204 && Head.getStatus() != 304)
     Head.setContentLength64(static_cast<Poco::Int64>(Body.size()));
   return this->sendHead(Head, this->HasBody ? Body : "", Until);
 }
 
-IoStatus CallerResponse::beginStream(Poco::Net::HTTPResponse Head, TimePoint Until) {
+IoStatus CallerResponse::beginStream(Poco::Net::HTTPResponse Head,
+                                     TimePoint Until) {
   Head.setChunkedTransferEncoding(true);
   return this->sendHead(Head, "", Until);
 }
--- a/src/entry/caller_response.h
+++ b/src/entry/caller_response.h
@@ -9,37 +9,37 @@
 
 namespace waycove {
 
-/// Writes one answer to a caller's connection. An answer that is cut never
-/// looks whole: it lacks its last chunk or part of its length.
+/// Writes one response to a caller's connection. A response that is cut off
+/// never looks complete: it lacks its last chunk or part of its length.
 class CallerResponse {
 public:
   CallerResponse(Channel &Caller, bool KeepAlive, bool HasBody)
       : Caller(Caller), KeepAlive(KeepAlive), HasBody(HasBody) {}
 
-  /// Sends a whole answer. \p Head holds status and end-to-end fields.
+  /// Sends a whole response. \p Head holds the status and end-to-end fields.
   IoStatus sendWhole(Poco::Net::HTTPResponse Head, const std::string &Body,
-                 TimePoint Until);
-  /// Begins an answer whose length is not known.
+                     TimePoint Until);
+  /// Starts a response of unknown length.
   IoStatus beginStream(Poco::Net::HTTPResponse Head, TimePoint Until);
   IoStatus sendChunk(std::string_view Bytes, TimePoint Until);
   IoStatus endStream(TimePoint Until);
-  /// Gives the answer up: the connection has to be closed without more. What
-  /// was sent already still reaches the caller, who sees that the end lacks.
+  /// Gives the response up. The connection has to be closed; what was sent
+  /// still reaches the caller, who sees that the end is missing.
   void abort();
 
-  bool hasStarted() const { return this->Begun; }
+  bool hasStarted() const { return this->Started; }
   /// Whether another request may follow on the connection.
   bool mayReuseConnection() const { return this->KeepAlive && !this->Failed; }
 
 private:
   IoStatus sendHead(Poco::Net::HTTPResponse &Head, const std::string &Body,
                     TimePoint Until);
-  IoStatus recordStatus(IoStatus End);
+  IoStatus recordStatus(IoStatus Status);
 
   Channel &Caller;
   bool KeepAlive;
   bool HasBody;
-  bool Begun = false;
+  bool Started = false;
   bool Failed = false;
 };
 
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -15,8 +15,8 @@
 
 namespace waycove {
 
-/// Takes callers' connections, each served by one thread of a pool, and reads
-/// their requests one after the other. POCO's own server is not used here: it
+/// Accepts callers' connections and reads their requests one after the other,
+/// with one thread of a pool per connection. POCO's own server is not used: it
 /// hides whether a body was read to its end and when a caller leaves.
 template <CallerProtocol Protocol> class CallerServer {
 public:
@@ -25,38 +25,38 @@
         Threads("callers", 1, static_cast<int>(Board.Config.MaxStreams),
                 IdleThreadSeconds, StackBytes) {}
 
-  /// Begins to listen. Throws Poco::Exception where the address is taken.
+  /// Starts listening. Throws Poco::Exception if the address is in use.
   void start() {
-    const Endpoint &At = this->Board.Config.Http;
-    this->Listener.bind(Poco::Net::SocketAddress(At.Host, At.Port), true,
-                        false);
+    const Endpoint &Address = this->Board.Config.Http;
+    this->Listener.bind(Poco::Net::SocketAddress(Address.Host, Address.Port),
+                        true, false);
     this->Listener.listen(Backlog);
     this->Acceptor = std::jthread(
         [this](const std::stop_token &Stop) { this->acceptAll(Stop); });
   }
 
-  /// Closes connections on which no request is under way, so that callers open
-  /// their next one elsewhere. One that has something to read is left alone.
+  /// Closes connections without a request in progress, so that callers open
+  /// their next one at another node. Skips those with unread bytes.
   void closeIdle() {
     std::lock_guard Lock(this->IdleMutex);
-    for (Channel *Row : this->Idle)
-      if (!Row->isReadable())
-        Row->shutdown();
+    for (Channel *Connection : this->Idle)
+      if (!Connection->isReadable())
+        Connection->shutdown();
   }
 
 private:
-  /// A thread that has no connection ends after this.
+  /// After this time a thread without a connection ends.
   static constexpr int IdleThreadSeconds = 5;
   /// Small, since each open connection holds a thread.
   static constexpr int StackBytes = 256 << 10;
-  /// Connections that wait to be taken.
+  /// Connections waiting to be accepted.
   static constexpr int Backlog = 1024;
-  /// After a failed accept, so that a lasting failure does not spin.
-  static constexpr Millis AcceptWait{500};
-  /// For writing the refusal of what cannot be read.
-  static constexpr Millis AnswerTime{1000};
+  /// Pause after a failed accept.
+  static constexpr Millis AcceptRetryDelay{500};
+  /// Timeout for writing an error response to an unreadable request.
+  static constexpr Millis ErrorWriteTimeout{1000};
 
-  /// One connection on its thread; deletes itself when done.
+  /// Serves one connection on its thread and deletes itself when done.
   class Connection : public Poco::Runnable {
   public:
     Connection(CallerServer &Owner, const Poco::Net::StreamSocket &Socket)
@@ -83,20 +83,20 @@
       } catch (const Poco::Exception &Error) {
         this->Board.Log.emit(EventCode::RequestCut, "accept",
                              LogFields().add("reason", Error.displayText()));
-        std::this_thread::sleep_for(AcceptWait);
+        std::this_thread::sleep_for(AcceptRetryDelay);
       }
     }
   }
 
   void acceptOne(const Poco::Net::StreamSocket &Socket) {
-    auto Row = std::make_unique<Connection>(*this, Socket);
+    auto Accepted = std::make_unique<Connection>(*this, Socket);
     try {
-      this->Threads.start(*Row);
-      // The connection deletes itself at the end of its run.
-      static_cast<void>(Row.release());
+      this->Threads.start(*Accepted);
+      // The connection deletes itself at the end of run().
+      static_cast<void>(Accepted.release());
     } catch (const Poco::NoThreadAvailableException &) {
       this->Board.Log.emit(EventCode::RequestCut, "accept",
-                           LogFields().add("reason", "all threads are taken"));
+                           LogFields().add("reason", "all threads are in use"));
     }
   }
 
@@ -107,11 +107,11 @@
 
   CallerLimits limits() const {
     RoutingConfigRef Config = this->Board.Routing.read(
-        [](const RoutingConfigRef &Row) { return Row; });
+        [](const RoutingConfigRef &Config) { return Config; });
     return Config ? Config->Limits : CallerLimits();
   }
 
-  /// Reads and serves one request; false where the connection ends.
+  /// Reads and serves one request. Returns false if the connection ends.
   bool serveOne(Channel &Caller) {
     CallerLimits Limits = this->limits();
     if (Caller.buffer().empty() &&
@@ -135,10 +135,10 @@
     return this->RequestRelay.serve(Caller, std::move(Request));
   }
 
-  /// Takes a request's head off the connection; false where none comes by
-  /// \p Until, or it was refused.
+  /// Reads a request's head. Returns false if none arrives by \p Until or if it
+  /// was refused.
   bool readHead(Channel &Caller, const CallerLimits &Limits, TimePoint Until,
-                Poco::Net::HTTPRequest &Into) {
+                Poco::Net::HTTPRequest &Out) {
     std::string &Buffer = Caller.buffer();
     std::optional<std::size_t> Length;
     while (!(Length = headLength(Buffer))) {
@@ -153,30 +153,30 @@
     if (!Head || !Head->has("Host"))
       return this->refuse(Caller, 400, "the head is malformed");
     Buffer.erase(0, *Length);
-    Into = *Head;
+    Out = *Head;
     return true;
   }
 
-  /// Waits for the next request's first bytes; false where none come.
+  /// Waits for the next request's first bytes. Returns false if none arrive.
   bool waitForRequest(Channel &Caller, Millis IdleTime) {
     {
       std::lock_guard Lock(this->IdleMutex);
       this->Idle.insert(&Caller);
     }
     TimePoint Until = SystemClock{}.now() + IdleTime;
-    IoStatus End = Caller.waitReadable(Until);
+    IoStatus Status = Caller.waitReadable(Until);
     {
       std::lock_guard Lock(this->IdleMutex);
       this->Idle.erase(&Caller);
     }
-    return End == IoStatus::Ok && Caller.fill(Until) == IoStatus::Ok;
+    return Status == IoStatus::Ok && Caller.fill(Until) == IoStatus::Ok;
   }
 
   bool readBody(Channel &Caller, BodyDecoder &Body, const CallerLimits &Limits,
-                std::string &Into) {
+                std::string &Payload) {
     while (true) {
-      Body.feed(Caller.buffer(), Into);
-      if (Into.size() > Limits.BodyBytes)
+      Body.feed(Caller.buffer(), Payload);
+      if (Payload.size() > Limits.BodyBytes)
         return this->refuse(Caller, 413, "the body is too large");
       if (Body.isMalformed())
         return this->refuse(Caller, 400, "the body's chunks are malformed");
@@ -187,13 +187,14 @@
     }
   }
 
-  /// Answers what cannot be read as a request; the connection ends, since
-  /// nobody knows where the next request would begin. Always false.
+  /// Responds to bytes that are no valid request. The connection has to end,
+  /// since it is unknown where the next request starts. Always returns false.
   bool refuse(Channel &Caller, int Status, const std::string &Reason) {
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Status));
     CallerResponse Response(Caller, false, true);
-    Response.sendWhole(Out, Reason + "\n", SystemClock{}.now() + AnswerTime);
+    Response.sendWhole(Out, Reason + "\n",
+                       SystemClock{}.now() + ErrorWriteTimeout);
     this->Board.Log.emit(
         EventCode::RequestRefused, "unread",
         LogFields().add("status", Status).add("reason", Reason));
@@ -204,7 +205,7 @@
   Relay<Protocol> &RequestRelay;
   Poco::ThreadPool Threads;
   Poco::Net::ServerSocket Listener;
-  /// Connections between two requests.
+  /// Connections that wait for their next request.
   std::mutex IdleMutex;
   std::set<Channel *> Idle;
   const std::uint64_t Seed = hashText(randomId());
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -17,9 +17,9 @@
 
 namespace waycove {
 
-/// What an adapter to a platform brings: how callers and targets speak, where
-/// configuration and registry are followed, how work is shared and targets are
-/// ordered.
+/// An adapter to a platform: the HTTP conventions of callers and targets, the
+/// feeds of configuration, registry and nodes, the partitions of the domains,
+/// and the control of targets.
 template <typename P>
 concept EntryPlatform = CallerProtocol<typename P::Callers> &&
     StoreFeed<typename P::Feed> && NodeDirectory<typename P::Feed> &&
@@ -32,7 +32,8 @@
 };
 
 /// A daemon that serves as an entry on a platform: the blackboard, its
-/// controllers, and the servers of callers and of the platform's balancer.
+/// controllers, and the servers for callers and for the platform's load
+/// balancer.
 template <EntryPlatform Platform> class EntryDaemon {
 public:
   explicit EntryDaemon(const Settings &Config)
@@ -57,7 +58,7 @@
             Platform::ReadyPath, [this] { return this->isReady(); },
             this->Board.Counters) {}
 
-  /// Throws Poco::Exception where an address is taken.
+  /// Throws Poco::Exception if an address is in use.
   void start() {
     this->Board.FillAwaited.renew(
         SystemClock{}.now(),
@@ -105,12 +106,12 @@
         LogFields().add("in_flight", this->Board.InFlight.load()));
   }
 
-  /// Whether the process may end: idle, and long enough after the stop began
-  /// for the balancer to have noticed.
+  /// Whether the process may end: no request is in flight, and the load
+  /// balancer has had time to notice the stop.
   bool isDrained() {
     if (SystemClock{}.now() - this->StopBegan <= BalancerDelay)
       return false;
-    // From here on only what came before is finished.
+    // From now on, new requests are refused.
     bool Refused = this->Board.Refusing.exchange(true);
     if (!Refused)
       this->Callers.closeIdle();
@@ -127,64 +128,66 @@
 
 private:
   static constexpr Millis PlanInterval{100};
-  /// For other nodes to tell a node that starts what there is, before it reads
-  /// the store: one reads it for all of a data centre in 0.1 s, and passes it
-  /// on over two hops in 0.5 s. Callers wait for a node that restarts; while
-  /// the whole system starts there are none yet.
+  /// How long a node that starts waits for other nodes' data before it reads
+  /// the store itself. Longer for the first start of the whole system, when
+  /// there are no callers yet.
   static constexpr Millis FillTimeout{1000};
   static constexpr Millis FirstFillTimeout{2000};
   static constexpr Millis SweepInterval{1000};
-  /// In sweeps; a line of the log each time.
+  /// Store calls are logged once in this many sweeps.
   static constexpr unsigned SweepsPerCallLog = 5;
-  /// The balancer asks each second and believes the second miss.
+  /// The load balancer checks every second and acts on the second failure.
   static constexpr Millis BalancerDelay{2600};
 
-  /// Whether keys may be used: they are proven current, or the operators allow
-  /// to go on with those that were current when the store was last reached.
-  /// This serves callers through outages of the store: measured on a site with
-  /// 7 nodes, 6 s of nothing in a day of 34 s.
+  /// Whether API keys may be used: they are proven current, or the operators
+  /// allow unproven keys, so that callers are served while the store is away.
   bool mayUseKeys() const {
     return !this->Board.Config.Entry->RevokeFailClosed ||
            this->Board.ConfigFresh.holds(SystemClock{}.now());
   }
 
-  /// Ready while it could serve: it has a configuration in force, may use its
-  /// keys, and knows targets. Without a configuration no target serves.
+  /// Whether the node can serve: it may use its keys and has serving targets,
+  /// which also requires a configuration.
   bool isReady() {
     bool Serves = !this->Board.Serving
-                       .read([](const ServingViewRef &Row) { return Row; })
+                       .read([](const ServingViewRef &View) { return View; })
                        ->ByService.empty();
-    bool Now = !this->Board.Stopping && Serves && this->mayUseKeys();
-    if (Now != this->WasReady.exchange(Now))
-      this->Board.Log.emit(Now ? EventCode::DaemonReady
-                               : EventCode::DaemonNotReady,
+    bool IsReady = !this->Board.Stopping && Serves && this->mayUseKeys();
+    if (IsReady != this->WasReady.exchange(IsReady))
+      this->Board.Log.emit(IsReady ? EventCode::DaemonReady
+                                   : EventCode::DaemonNotReady,
                            this->Board.Config.Node.Text,
                            LogFields()
-                               .add("ready", Now)
+                               .add("ready", IsReady)
                                .add("serves", Serves)
                                .add("stopping", this->Board.Stopping.load()));
-    return Now;
+    return IsReady;
   }
 
+  /// Discards what is kept about targets that are no longer listed, and lets
+  /// the demand decay.
   void sweep() {
-    std::set<VmLife> Listed = this->Board.Targets.read([](const Fleet &Rows) {
-      std::set<VmLife> Lives;
-      for (const auto &[Id, Row] : Rows.Targets)
-        Lives.insert(Row->life());
-      return Lives;
+    std::set<VmLife> Listed = this->Board.Targets.read([](const Fleet &Known) {
+      std::set<VmLife> Incarnations;
+      for (const auto &[Id, Target] : Known.Targets)
+        Incarnations.insert(Target->life());
+      return Incarnations;
     });
-    auto IsListed = [&](const VmLife &Life) { return Listed.contains(Life); };
+    auto IsListed = [&](const VmLife &Target) {
+      return Listed.contains(Target);
+    };
     this->Pool.sweep(IsListed, SystemClock{}.now());
-    this->Board.Vitals.write([&](VitalsTable &Rows) { Rows.forget(IsListed); });
-    this->Board.Demand.write([](DemandTable &Rows) {
-      for (auto &[Model, Row] : Rows)
-        Row = Row.scaled(DemandKept);
+    this->Board.Vitals.write(
+        [&](VitalsTable &Vitals) { Vitals.forget(IsListed); });
+    this->Board.Demand.write([](DemandTable &Table) {
+      for (auto &[Model, Demand] : Table)
+        Demand = Demand.scaled(DemandKept);
     });
     if (++this->SweepCount % SweepsPerCallLog == 0)
       this->logStoreCalls();
   }
 
-  /// How many calls to the store were made, and why, while any are.
+  /// Logs how many calls to the store were made, and why, if any were.
   void logStoreCalls() {
     std::uint64_t Calls = this->Board.Counters.Calls.sum();
     if (std::exchange(this->LoggedCalls, Calls) != Calls)
@@ -211,7 +214,7 @@
   CachedFeed ConfigFeed;
   CachedFeed RegistryFeed;
   CachedFeed NodeFeed;
-  /// For announcing this node, while the feed waits for others' news.
+  /// Announces this node, on a connection apart from NodeFeed's.
   typename Platform::Feed Directory;
   typename Platform::Partitions Partitions;
   typename Platform::Control Control;
--- a/src/entry/ready_server.cpp
+++ b/src/entry/ready_server.cpp
@@ -37,9 +37,10 @@
   ReadyServer &Owner;
 };
 
-class ReadyServer::Handlers : public Poco::Net::HTTPRequestHandlerFactory {
+class ReadyServer::HandlerFactory
+    : public Poco::Net::HTTPRequestHandlerFactory {
 public:
-  explicit Handlers(ReadyServer &Owner) : Owner(Owner) {}
+  explicit HandlerFactory(ReadyServer &Owner) : Owner(Owner) {}
   Poco::Net::HTTPRequestHandler *
   createRequestHandler(const Poco::Net::HTTPServerRequest &) override {
     return new Handler(this->Owner);
@@ -49,15 +50,16 @@
   ReadyServer &Owner;
 };
 
-void ReadyServer::start(const Endpoint &At) {
+void ReadyServer::start(const Endpoint &Address) {
   Poco::Net::ServerSocket Socket;
-  Socket.bind(Poco::Net::SocketAddress(At.Host, At.Port), true, false);
+  Socket.bind(Poco::Net::SocketAddress(Address.Host, Address.Port), true,
+              false);
   Socket.listen(Backlog);
   auto Params = Poco::AutoPtr<Poco::Net::HTTPServerParams>(
       new Poco::Net::HTTPServerParams);
   Params->setMaxThreads(MaxThreads);
   this->Server = std::make_unique<Poco::Net::HTTPServer>(
-      new Handlers(*this), this->Threads, Socket, Params);
+      new HandlerFactory(*this), this->Threads, Socket, Params);
   this->Server->start();
 }
 
--- a/src/entry/ready_server.h
+++ b/src/entry/ready_server.h
@@ -15,26 +15,26 @@
 
 namespace waycove {
 
-/// Answers the platform's balancer, which asks whether this node takes callers,
-/// and whoever reads the counters. It has an address and threads of its own, so
-/// that callers cannot crowd the balancer out.
+/// Serves the readiness check of the platform's load balancer, and the metrics.
+/// It has its own address and threads, so that load from callers cannot delay
+/// the load balancer.
 class ReadyServer {
 public:
-  /// \p IsReady is asked on the server's own threads.
+  /// \p IsReady is called on the server's own threads.
   ReadyServer(std::string Path, std::function<bool()> IsReady,
               const Metrics &Counters)
       : Path(std::move(Path)), IsReady(std::move(IsReady)), Counters(Counters) {
   }
 
-  /// Begins to listen. Throws Poco::Exception where the address is taken.
-  void start(const Endpoint &At);
+  /// Starts listening. Throws Poco::Exception if the address is in use.
+  void start(const Endpoint &Address);
 
 private:
   class Handler;
-  class Handlers;
+  class HandlerFactory;
   static constexpr int MinThreads = 2;
   static constexpr int MaxThreads = 4;
-  /// Connections that wait to be taken.
+  /// Connections waiting to be accepted.
   static constexpr int Backlog = 64;
 
   const std::string Path;
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -9,13 +9,13 @@
 
 namespace waycove {
 
-/// Passes callers' requests on to targets, and answers back, byte for byte.
-/// One object serves all connections; each call is one request's whole life:
-/// admitted, offered to a target, offered to another where that is allowed and
-/// within the shared allowance, and answered exactly once.
+/// Forwards callers' requests to targets and the responses back, byte for
+/// byte. One object serves all connections. Each call handles one request from
+/// admission to its single response, with further attempts at other targets
+/// where the route and the retry limit allow it.
 ///
-/// What may be told: a request is "not run" only while no send of it reached a
-/// target that did not itself say so.
+/// A request is reported as "not run" only if each attempt that reached a
+/// target was declined by that target.
 template <CallerProtocol Protocol> class Relay {
 public:
   Relay(EntryBoard &Board, TargetConnectionPool &Pool)
@@ -23,18 +23,19 @@
         Waiter(Board, this->Policy, this->Log),
         Forwarder(Board, Pool, this->Waiter, this->Log) {}
 
-  /// Serves \p Request and answers on \p Caller. Whether the connection may be
-  /// used for another request.
+  /// Serves \p Request and writes the response to \p Caller. Returns whether
+  /// the connection may carry another request.
   bool serve(Channel &Caller, RelayRequest Request) {
     this->Board.InFlight.fetch_add(1);
     this->Board.Requested = true;
-    bool Keep = Request.Head.getKeepAlive() && !this->Board.Stopping;
-    CallerResponse Response(Caller, Keep, Request.Head.getMethod() != "HEAD");
+    bool KeepAlive = Request.Head.getKeepAlive() && !this->Board.Stopping;
+    CallerResponse Response(Caller, KeepAlive,
+                            Request.Head.getMethod() != "HEAD");
     RelayProgress Progress;
     Progress.LastEvent = Request.Info.LastEvent;
     absl::Status Admitted =
         this->Board.Refusing
-            ? makeError(ErrorKind::Stopping, "stopping", ComeBackElsewhere)
+            ? makeError(ErrorKind::Stopping, "stopping", StoppingRetryAfter)
             : admitRequest(this->Board, Request, SystemClock{}.now());
     if (Admitted.ok()) {
       this->Policy.recordRequest(Request);
@@ -47,22 +48,21 @@
   }
 
 private:
-  /// For a connection: data centres are some ms apart, and the tightest
-  /// objective leaves little time for a host that is dark. An opening packet
-  /// that was lost is sent again only after a second.
-  static constexpr Millis DialTime{100};
-  /// A choice that is older is made again: connecting takes DialTime at most.
-  static constexpr Millis ChoiceTime{250};
-  /// For a host to acknowledge what was sent: a lost packet is sent again
-  /// after 200 ms.
-  static constexpr Millis AcknowledgeTime{300};
-  /// Another node takes the request at once.
-  static constexpr Millis ComeBackElsewhere{20};
-  /// What is blamed stays so, but where its trial clears it.
-  static constexpr Millis BlamedTime{5000};
-  /// A target that cannot be reached is left for this time: about as long as
-  /// the registry needs to take it off the list.
-  static constexpr Millis UnreachableTime{3000};
+  /// Short, so that a host that is down costs little of the deadline. A lost
+  /// SYN is only retransmitted after a second.
+  static constexpr Millis ConnectTimeout{100};
+  /// A target selection that is older is made again before the request is
+  /// sent.
+  static constexpr Millis MaxSelectionAge{250};
+  /// Longer than the 200 ms after which a lost packet is retransmitted.
+  static constexpr Millis AckTimeout{300};
+  /// Retry-After of a stopping node: another node accepts the request at once.
+  static constexpr Millis StoppingRetryAfter{20};
+  /// Retry-After of a request that is refused because targets crash under it.
+  static constexpr Millis BlamedRetryAfter{5000};
+  /// An unreachable target is avoided for about as long as the registry needs
+  /// to remove it.
+  static constexpr Millis UnreachableDuration{3000};
 
   void runAttempts(RelayExchange Ex) {
     while (true) {
@@ -71,18 +71,18 @@
         return this->fail(Ex, "the deadline passed", true);
       if (!this->Policy.maySend(Ex.Request, Now))
         return this->failCrashing(Ex);
-      std::optional<ChosenTarget> Chosen =
+      std::optional<SelectedTarget> Selected =
           this->Policy.choose(Ex.Request, Ex.Progress, Now);
-      if (!Chosen)
+      if (!Selected)
         return this->fail(Ex, "no target serves", false);
-      Ex.Progress.Snapshot = Chosen->Snapshot;
-      this->Board.Counters.observe(Timer::RegistryAge, Chosen->Snapshot.Age);
+      Ex.Progress.Snapshot = Selected->Snapshot;
+      this->Board.Counters.observe(Timer::RegistryAge, Selected->Snapshot.Age);
       if (Ex.Progress.SentCount > 0 &&
           !this->Policy.takeRetry(Ex.Request.Service, Now))
         return this->fail(Ex, "no second sends left in this window", false);
-      AttemptEnd End = this->attempt(Ex, Chosen->To, Now);
+      AttemptEnd End = this->attempt(Ex, Selected->To, Now);
       if (End == AttemptEnd::Done || End == AttemptEnd::CallerGone)
-        return this->Log.requestDone(Ex, Chosen->To, End);
+        return this->Log.requestDone(Ex, Selected->To, End);
       if (End == AttemptEnd::Broken || End == AttemptEnd::Stalled)
         ++Ex.Progress.MayHaveRun;
       if (!RelayPolicy::mayRetry(Ex.Request, Ex.Progress))
@@ -91,19 +91,20 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const Serving &To, TimePoint ChosenAt) {
+  AttemptEnd attempt(RelayExchange &Ex, const Serving &To,
+                     TimePoint SelectedAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
-    const VmLife Life = To.Target->life();
-    Ex.Progress.Tried.push_back(Life.Id);
+    const VmLife Target = To.Target->life();
+    Ex.Progress.Tried.push_back(Target.Id);
     if (!this->connect(Ex, Attempt)) {
-      this->Log.suspectTarget(Life, UnreachableTime, Attempt.Reason,
-                        Ex.Request.Info.Id);
+      this->Log.suspectTarget(Target, UnreachableDuration, Attempt.Reason,
+                              Ex.Request.Info.Id);
       return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
     }
     Attempt.SentAt = SystemClock{}.now();
-    if (Attempt.SentAt - ChosenAt > ChoiceTime) {
-      // The target may have left since; it is chosen anew, and may be again.
+    if (Attempt.SentAt - SelectedAt > MaxSelectionAge) {
+      // The target may have left since: select again. It stays eligible.
       Ex.Progress.Tried.pop_back();
       Attempt.Reason = "this machine stood still";
       return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
@@ -111,18 +112,18 @@
     auto Prompt = static_cast<double>(Ex.Request.Info.PromptTokens);
     Attempt.LastByte = Attempt.SentAt;
     this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onStart(Life, Prompt, Attempt.SentAt);
+      Vitals.onStart(Target, Prompt, Attempt.SentAt);
     });
     AttemptEnd End = this->exchange(Ex, Attempt);
     this->Policy.recordOutcome(Ex.Request, Attempt, End, SystemClock{}.now());
     this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onEnd(Life, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
+      Vitals.onEnd(Target, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
       if (End != AttemptEnd::CallerGone)
-        Vitals.onOutcome(Life, End == AttemptEnd::Broken, SystemClock{}.now());
+        Vitals.onOutcome(Target, End == AttemptEnd::Broken,
+                         SystemClock{}.now());
     });
-    // What a cut still holds up must not be delivered seconds later, to a
-    // target that has left by then: a reset takes it back, an end in good order
-    // not.
+    // Bytes that were not delivered must not reach the target later, when it
+    // may have left the registry. Only a reset discards them.
     if (End != AttemptEnd::Done && Attempt.Connection)
       Attempt.Connection->abort();
     return this->endAttempt(Ex, Attempt, End);
@@ -130,24 +131,25 @@
 
   bool connect(const RelayExchange &Ex, RelayAttempt &Attempt) {
     TimePoint Now = SystemClock{}.now();
-    // A kept connection may just be closing; what cannot be repeated is not
-    // put at that risk.
+    // The target may be closing an idle connection at this moment. A request
+    // that must not be repeated therefore gets a new connection.
     if (Ex.Request.Route->mayRepeat())
       Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
     if (Attempt.Connection)
       return true;
-    IoStatus End = Channel::connect(Attempt.To.Target->Address,
-                                 std::min(Ex.Request.Deadline, Now + DialTime),
-                                 Attempt.Connection);
-    if (End == IoStatus::Ok && Ex.Request.Route->mayRepeat())
-      Attempt.Connection->setAckTimeout(AcknowledgeTime);
-    if (End != IoStatus::Ok)
-      Attempt.Reason = End == IoStatus::Timeout ? "no connection in time"
-                                                : "connection refused";
-    return End == IoStatus::Ok;
+    IoStatus Status =
+        Channel::connect(Attempt.To.Target->Address,
+                         std::min(Ex.Request.Deadline, Now + ConnectTimeout),
+                         Attempt.Connection);
+    if (Status == IoStatus::Ok && Ex.Request.Route->mayRepeat())
+      Attempt.Connection->setAckTimeout(AckTimeout);
+    if (Status != IoStatus::Ok)
+      Attempt.Reason = Status == IoStatus::Timeout ? "no connection in time"
+                                                   : "connection refused";
+    return Status == IoStatus::Ok;
   }
 
-  /// Sends the request over the open connection and deals with the answer.
+  /// Sends the request over the open connection and forwards the response.
   AttemptEnd exchange(RelayExchange &Ex, RelayAttempt &Attempt) {
     std::string Bytes = serializeRequest(Ex, Attempt);
     ++Ex.Progress.SentCount;
@@ -157,23 +159,23 @@
       Attempt.Reason = "the connection broke while sending";
       return AttemptEnd::Broken;
     }
-    return this->Forwarder.read(Ex, Attempt);
+    return this->Forwarder.forward(Ex, Attempt);
   }
 
-  /// The request as this send of it goes to its target.
+  /// The bytes of the request as this attempt sends it to its target.
   static std::string serializeRequest(const RelayExchange &Ex,
                                       const RelayAttempt &Attempt) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
         waitedBefore(*Request.Route, Request.Info.Timeout) +
         std::chrono::duration_cast<Millis>(Attempt.SentAt - Request.ArrivedAt);
-    AttemptParams Info{
+    AttemptParams Params{
         Attempt.To.Target->Id, Request.Workspace,
         std::chrono::duration_cast<Millis>(Request.Deadline - Attempt.SentAt),
         urgencyOf(*Request.Route, Request.Owner, Waited),
         Ex.Progress.LastEvent};
     Poco::Net::HTTPRequest Head =
-        Protocol::makeTargetRequest(Request.Head, Info);
+        Protocol::makeTargetRequest(Request.Head, Params);
     if (!Request.Body.empty() || Request.Head.hasContentLength() ||
         Request.Head.getChunkedTransferEncoding())
       Head.setContentLength64(static_cast<Poco::Int64>(Request.Body.size()));
@@ -190,7 +192,8 @@
     return End;
   }
 
-  /// What a caller is told that gets no answer: only what is certain.
+  /// The error for a caller whose request got no response from a target. It
+  /// claims no more than is certain.
   static ErrorKind errorKindFor(const RelayProgress &Progress,
                                 bool DeadlinePassed) {
     if (DeadlinePassed)
@@ -201,7 +204,7 @@
     return Progress.SentCount ? ErrorKind::TargetBusy : ErrorKind::NoCapacity;
   }
 
-  /// Ends a request for which no further send is allowed or possible.
+  /// Ends a request for which no further attempt is allowed or possible.
   void fail(RelayExchange Ex, const std::string &Reason, bool DeadlinePassed) {
     if (Ex.Response.hasStarted()) {
       Ex.Response.abort();
@@ -212,28 +215,29 @@
       return this->Log.requestFailed(Ex, Reason);
     }
     this->refuse(Ex, makeError(errorKindFor(Ex.Progress, DeadlinePassed),
-                               Reason, comeBackAfter(Ex.Request)));
+                               Reason, suggestRetryAfter(Ex.Request)));
   }
 
-  /// Ends a request under which targets ended: nothing known will serve it.
+  /// Ends a request that is blamed for crashes of targets.
   void failCrashing(RelayExchange Ex) {
     const std::string Reason = "targets ended under it";
     if (Ex.Progress.MayHaveRun > 0)
       return this->fail(Ex, Reason, false);
-    this->refuse(Ex, makeError(ErrorKind::CrashesTargets, Reason, BlamedTime));
+    this->refuse(
+        Ex, makeError(ErrorKind::CrashesTargets, Reason, BlamedRetryAfter));
   }
 
-  void refuse(RelayExchange Ex, const absl::Status &Why) {
-    const ErrorAnswer &Row = answerFor(kindOf(Why));
+  void refuse(RelayExchange Ex, const absl::Status &Error) {
+    const ErrorAnswer &Template = answerFor(kindOf(Error));
     Poco::Net::HTTPResponse Out(
-        static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Row.HttpStatus));
+        static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Template.HttpStatus));
     Out.setContentType("application/json");
-    Protocol::setResponseHeaders(Out, Ex.Request.Info.Id,
-                                 Row.RequestRan == Ran::No ? retryAfterOf(Why)
-                                                           : Millis(0));
-    Ex.Response.sendWhole(Out, errorJson(Why),
-                      SystemClock{}.now() + RelayExchange::WriteGrace);
-    this->Log.requestRefused(Ex, Why);
+    Protocol::setResponseHeaders(
+        Out, Ex.Request.Info.Id,
+        Template.RequestRan == Ran::No ? retryAfterOf(Error) : Millis(0));
+    Ex.Response.sendWhole(Out, errorJson(Error),
+                          SystemClock{}.now() + RelayExchange::WriteGrace);
+    this->Log.requestRefused(Ex, Error);
   }
 
   EntryBoard &Board;
--- a/src/entry/relay_attempt.cpp
+++ b/src/entry/relay_attempt.cpp
@@ -10,7 +10,8 @@
                             const std::string &Bytes) {
   Poco::Net::HTTPResponse Out(Head.getStatus(), Head.getReason());
   copyEndToEnd(Head, Out);
-  return this->Response.sendWhole(Out, Bytes, this->writeUntil()) == IoStatus::Ok;
+  return this->Response.sendWhole(Out, Bytes, this->writeUntil()) ==
+         IoStatus::Ok;
 }
 
 } // namespace waycove
--- a/src/entry/relay_attempt.h
+++ b/src/entry/relay_attempt.h
@@ -10,24 +10,25 @@
 
 namespace waycove {
 
-/// A request that is being served, with all that belongs to it.
+/// A request that is being served, its caller's connection and its response.
 struct RelayExchange {
   Channel &Caller;
   RelayRequest &Request;
   RelayProgress &Progress;
   CallerResponse &Response;
 
-  /// Until when an answer may be written. A caller that is slow to read gets a
-  /// little beyond the deadline.
+  /// Until when the response may be written. A slow reader gets a short time
+  /// beyond the deadline.
   TimePoint writeUntil() const { return this->Request.Deadline + WriteGrace; }
-  /// Gives the caller a target's whole answer; false where the caller is gone.
+  /// Sends a target's whole response to the caller. Returns false if the caller
+  /// has left.
   bool deliver(const Poco::Net::HTTPResponse &Head, const std::string &Bytes);
 
-  /// For writing an answer that a caller is slow to read, beyond the deadline.
+  /// Time beyond the deadline for writing a response to a slow reader.
   static constexpr Millis WriteGrace{250};
 };
 
-/// One send: the target, the connection, and what is known of the answer.
+/// One attempt: the target, the connection, and the state of the response.
 struct RelayAttempt {
   Serving To;
   std::optional<Channel> Connection;
@@ -35,9 +36,9 @@
   TimePoint LastByte;
   bool FirstByteSeen = false;
   bool WatchCaller = true;
-  /// The connection ended before its answer did: the target may have.
+  /// The connection ended before the response did; the target may have crashed.
   bool ConnectionLost = false;
-  /// The target's answer is a success.
+  /// The target responded with a success status.
   bool Succeeded = false;
   std::string Reason;
 };
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// The fields that every line about a request has.
-LogFields fieldsOf(const RelayExchange &Ex) {
+/// The fields of every line about a request.
+LogFields requestFields(const RelayExchange &Ex) {
   LogFields Fields;
   TimePoint Now = SystemClock{}.now();
   Fields.add("after_ms",
@@ -31,28 +31,29 @@
 
 } // namespace
 
-void RelayLog::suspectTarget(const VmLife &Target, Millis Time,
-                       const std::string &Reason, const RequestId &Because) {
+void RelayLog::suspectTarget(const VmLife &Target, Millis Duration,
+                             const std::string &Reason,
+                             const RequestId &Cause) {
   TimePoint Now = SystemClock{}.now();
-  bool New = this->Board.Vitals.write([&](VitalsTable &Vitals) {
-    bool Fresh = Vitals.of(Target).SuspectUntil <= Now;
-    Vitals.suspect(Target, Now, Time);
-    return Fresh;
+  bool NewlySuspected = this->Board.Vitals.write([&](VitalsTable &Vitals) {
+    bool IsNew = Vitals.of(Target).SuspectUntil <= Now;
+    Vitals.suspect(Target, Now, Duration);
+    return IsNew;
   });
-  if (!New)
+  if (!NewlySuspected)
     return;
   this->Board.Counters.add(Counter::TargetsSuspected);
   this->Board.Log.emit(EventCode::TargetSuspected, Target.Id.Text,
                        LogFields()
-                           .add("request", Because.Text)
+                           .add("request", Cause.Text)
                            .add("reason", Reason)
-                           .add("for_ms", Time));
+                           .add("for_ms", Duration));
 }
 
 void RelayLog::attemptEnded(const RelayExchange &Ex,
                             const RelayAttempt &Attempt) {
   this->Board.Log.emit(EventCode::AttemptEnded, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex)
+                       requestFields(Ex)
                            .add("target", Attempt.To.Target->Id.Text)
                            .add("address", Attempt.To.Target->Address.text())
                            .add("first_byte", Attempt.FirstByteSeen)
@@ -61,7 +62,7 @@
 }
 
 void RelayLog::requestDone(const RelayExchange &Ex, const Serving &To,
-                    AttemptEnd End) {
+                           AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
   this->Board.Counters.observe(Timer::Whole,
@@ -69,15 +70,16 @@
   if (End == AttemptEnd::Done)
     this->Board.Log.emit(
         EventCode::RequestDone, Ex.Request.Info.Id.Text,
-        fieldsOf(Ex)
+        requestFields(Ex)
             .add("target", To.Target->Id.Text)
             .add("first_byte_ms", Ex.Progress.FirstByte.value_or(Millis(0))));
 }
 
-void RelayLog::requestFailed(const RelayExchange &Ex, const std::string &Reason) {
+void RelayLog::requestFailed(const RelayExchange &Ex,
+                             const std::string &Reason) {
   this->Board.Log.emit(
       EventCode::RequestDone, Ex.Request.Info.Id.Text,
-      fieldsOf(Ex)
+      requestFields(Ex)
           .add("status", static_cast<int>(Ex.Progress.Failure->getStatus()))
           .add("reason", Reason));
 }
@@ -85,18 +87,19 @@
 void RelayLog::requestCut(const RelayExchange &Ex, const std::string &Reason) {
   this->Board.Counters.add(Counter::RequestsCut);
   this->Board.Log.emit(EventCode::RequestCut, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex).add("reason", Reason));
+                       requestFields(Ex).add("reason", Reason));
 }
 
-void RelayLog::requestRefused(const RelayExchange &Ex, const absl::Status &Why) {
-  const ErrorAnswer &Row = answerFor(kindOf(Why));
+void RelayLog::requestRefused(const RelayExchange &Ex,
+                              const absl::Status &Error) {
+  const ErrorAnswer &Template = answerFor(kindOf(Error));
   this->Board.Counters.add(Counter::RequestsRefused);
   this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex)
-                           .add("kind", Row.Name)
-                           .add("status", Row.HttpStatus)
-                           .add("retry_after_ms", retryAfterOf(Why))
-                           .add("reason", messageOf(Why)));
+                       requestFields(Ex)
+                           .add("kind", Template.Name)
+                           .add("status", Template.HttpStatus)
+                           .add("retry_after_ms", retryAfterOf(Error))
+                           .add("reason", messageOf(Error)));
 }
 
 } // namespace waycove
--- a/src/entry/relay_log.h
+++ b/src/entry/relay_log.h
@@ -8,25 +8,25 @@
 
 namespace waycove {
 
-/// Tells the log and the counters what becomes of callers' requests and of
-/// their sends, with the same fields on every line. Thread-safe.
+/// Writes the outcomes of requests and attempts to the log and the counters,
+/// with the same fields on every line. Thread-safe.
 class RelayLog {
 public:
   explicit RelayLog(EntryBoard &Board) : Board(Board) {}
 
-  /// Takes the target out of choice for \p Time, and tells of it where it is
-  /// not out already.
-  void suspectTarget(const VmLife &Target, Millis Time,
-                     const std::string &Reason, const RequestId &Because);
-  /// A send ended without a whole answer.
+  /// Marks the target as suspected for \p Duration and logs it if it was not
+  /// suspected before. \p Cause is the request that showed the fault.
+  void suspectTarget(const VmLife &Target, Millis Duration,
+                     const std::string &Reason, const RequestId &Cause);
+  /// An attempt ended without a whole response.
   void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
-  /// The request ended with the answer of \p To, or because the caller left.
+  /// The request ended with the response of \p To, or because the caller left.
   void requestDone(const RelayExchange &Ex, const Serving &To, AttemptEnd End);
-  /// The request ended with a target's own failure.
+  /// The request ended with an error response of a target.
   void requestFailed(const RelayExchange &Ex, const std::string &Reason);
-  /// The request's answer had begun and was given up.
+  /// The response had been started and was aborted.
   void requestCut(const RelayExchange &Ex, const std::string &Reason);
-  void requestRefused(const RelayExchange &Ex, const absl::Status &Why);
+  void requestRefused(const RelayExchange &Ex, const absl::Status &Error);
 
 private:
   EntryBoard &Board;
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Sends of one request, with those that targets did not take.
-constexpr unsigned MostSends = 5;
-/// Draws from a request's random bits whether it stays in its data centre, in
-/// steps of a ten-thousandth.
-constexpr std::uint64_t StayDraw = 0x57a4;
+/// Attempts for one request, including those that targets declined.
+constexpr unsigned AttemptLimit = 5;
+/// Salt of the random decision whether a request stays in its data centre.
+constexpr std::uint64_t StaySalt = 0x57a4;
+/// Resolution of that decision.
 constexpr std::uint64_t StayScale = 10000;
 
 } // namespace
@@ -22,50 +22,54 @@
 void RelayPolicy::recordRequest(const RelayRequest &Request) {
   const CallerRequestInfo &Info = Request.Info;
   if (!Info.Model.empty())
-    this->Board.Demand.write([&](DemandTable &Rows) {
-      ModelDemand &Row = Rows[Info.Model];
-      ++Row.Requests;
-      Row.PromptTokens += static_cast<double>(Info.PromptTokens);
-      Row.AnswerTokens += static_cast<double>(Info.MaxOutputTokens);
+    this->Board.Demand.write([&](DemandTable &Table) {
+      ModelDemand &Demand = Table[Info.Model];
+      ++Demand.Requests;
+      Demand.PromptTokens += static_cast<double>(Info.PromptTokens);
+      Demand.AnswerTokens += static_cast<double>(Info.MaxOutputTokens);
     });
   const ServiceId &Service = Request.Service;
-  const EntrySettings &Given = *this->Board.Config.Entry;
-  this->Board.Spend.write([&](SpendTable &Rows) {
-    Rows.try_emplace(Service, RetryAllowance{Given.RetryRatio, Given.RetrySlack,
-                                             Given.RetryWindow})
+  const EntrySettings &Config = *this->Board.Config.Entry;
+  this->Board.Spend.write([&](SpendTable &Limits) {
+    Limits
+        .try_emplace(Service,
+                     RetryAllowance{Config.RetryRatio, Config.RetrySlack,
+                                    Config.RetryWindow})
         .first->second.onRequest(SystemClock{}.now());
   });
 }
 
 bool RelayPolicy::maySend(const RelayRequest &Request, TimePoint Now) {
   using Verdict = CrashBlame::Verdict;
-  Verdict Found = this->Board.Crashes.read(
-      [&](const CrashBlame &Rows) { return Rows.judge(Request.Content, Now); });
-  if (Found != Verdict::Try)
-    return Found == Verdict::Serve;
+  Verdict Current = this->Board.Crashes.read([&](const CrashBlame &Crashes) {
+    return Crashes.judge(Request.Content, Now);
+  });
+  if (Current != Verdict::Try)
+    return Current == Verdict::Serve;
   if (!this->isTrialNode(Request.Content))
     return false;
-  bool Mine = this->Board.Crashes.write([&](CrashBlame &Rows) {
-    bool Still = Rows.judge(Request.Content, Now) == Verdict::Try;
-    if (Still)
-      Rows.noteTrial(Request.Content, Now);
-    return Still;
+  bool TrialTaken = this->Board.Crashes.write([&](CrashBlame &Crashes) {
+    bool StillTry = Crashes.judge(Request.Content, Now) == Verdict::Try;
+    if (StillTry)
+      Crashes.noteTrial(Request.Content, Now);
+    return StillTry;
   });
-  if (Mine)
+  if (TrialTaken)
     this->Board.Log.emit(EventCode::RequestTried, Request.Info.Id.Text,
                          LogFields().add("content", Request.Content.Value));
-  return Mine;
+  return TrialTaken;
 }
 
-/// One node alone, the same in the view of all.
+/// Exactly one node may try a blamed request. All nodes with the same directory
+/// agree on which.
 bool RelayPolicy::isTrialNode(ContentHash Content) const {
   auto RankOf = [&](const NodeId &Node) {
     return mixHash(Content.Value, hashText(Node.Text));
   };
-  std::uint64_t Mine = RankOf(this->Board.Config.Node);
+  std::uint64_t OwnRank = RankOf(this->Board.Config.Node);
   return this->Board.Nodes.read([&](const NodeTable &Nodes) {
-    return std::all_of(Nodes.begin(), Nodes.end(), [&](const auto &Row) {
-      return RankOf(Row.first) >= Mine;
+    return std::all_of(Nodes.begin(), Nodes.end(), [&](const auto &Node) {
+      return RankOf(Node.first) >= OwnRank;
     });
   });
 }
@@ -74,23 +78,23 @@
                                 const RelayAttempt &Attempt, AttemptEnd End,
                                 TimePoint Now) {
   if (End == AttemptEnd::Broken && Attempt.ConnectionLost)
-    this->Board.Crashes.write([&](CrashBlame &Rows) {
-      Rows.noteLost(Request.Content, Attempt.To.Target->life(), Now);
+    this->Board.Crashes.write([&](CrashBlame &Crashes) {
+      Crashes.noteLost(Request.Content, Attempt.To.Target->life(), Now);
     });
   else if (End == AttemptEnd::Done && Attempt.Succeeded)
     this->Board.Crashes.write(
-        [&](CrashBlame &Rows) { Rows.noteServed(Request.Content, Now); });
+        [&](CrashBlame &Crashes) { Crashes.noteServed(Request.Content, Now); });
 }
 
-std::optional<ChosenTarget> RelayPolicy::choose(const RelayRequest &Request,
-                                                const RelayProgress &Progress,
-                                                TimePoint Now) {
-  // Before the view: an age must not be understated.
+std::optional<SelectedTarget> RelayPolicy::choose(const RelayRequest &Request,
+                                                  const RelayProgress &Progress,
+                                                  TimePoint Now) {
+  // Read before the view, so that the age is never understated.
   TimePoint ProvenAt = this->Board.RegistryProven.get();
   ServingViewRef View =
-      this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
-  auto Rows = View->ByService.find(Request.Service);
-  if (Rows == View->ByService.end())
+      this->Board.Serving.read([](const ServingViewRef &View) { return View; });
+  auto Targets = View->ByService.find(Request.Service);
+  if (Targets == View->ByService.end())
     return std::nullopt;
   bool RegistryOld = Now - ProvenAt > this->Board.Config.Entry->DrainBound;
   ChoiceQuery Query;
@@ -104,28 +108,28 @@
   Query.RegistryOld = RegistryOld;
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.Vitals.read(
-      [&](const VitalsTable &Vitals) -> std::optional<ChosenTarget> {
-        const Serving *Row = chooseTarget(Rows->second, Vitals, Query);
-        if (!Row)
+      [&](const VitalsTable &Vitals) -> std::optional<SelectedTarget> {
+        const Serving *Best = chooseTarget(Targets->second, Vitals, Query);
+        if (!Best)
           return std::nullopt;
-        return ChosenTarget{
-            *Row, {View->Registry, std::chrono::ceil<Millis>(Now - ProvenAt)}};
+        return SelectedTarget{
+            *Best, {View->Registry, std::chrono::ceil<Millis>(Now - ProvenAt)}};
       });
 }
 
 bool RelayPolicy::mayLeaveDataCentre(const RelayRequest &Request,
                                      const std::string &Model) const {
-  double Stay = this->Board.Balance.read([&](const CentreBalance &Parts) {
-    return Parts.stay({Request.Service, Model});
+  double Stay = this->Board.Balance.read([&](const CentreBalance &Balance) {
+    return Balance.stay({Request.Service, Model});
   });
-  std::uint64_t Drawn = mixHash(Request.Random, StayDraw) % StayScale;
-  return static_cast<double>(Drawn) >= Stay * static_cast<double>(StayScale);
+  std::uint64_t Random = mixHash(Request.Random, StaySalt) % StayScale;
+  return static_cast<double>(Random) >= Stay * static_cast<double>(StayScale);
 }
 
 bool RelayPolicy::mayRetry(const RelayRequest &Request,
                            const RelayProgress &Progress) {
   const HttpRoute &Route = *Request.Route;
-  if (Progress.Tried.size() >= MostSends)
+  if (Progress.Tried.size() >= AttemptLimit)
     return false;
   return Progress.MayHaveRun == 0 ||
          (Route.mayRepeat() && Progress.MayHaveRun < Route.MaxAttempts);
@@ -137,7 +141,7 @@
   ++After.MayHaveRun;
   if (!Request.Route->mayRepeat() || !mayRetry(Request, After))
     return false;
-  std::optional<ChosenTarget> Other = this->choose(Request, After, Now);
+  std::optional<SelectedTarget> Other = this->choose(Request, After, Now);
   return Other && this->hasRetryLeft(Request.Service, Now) &&
          this->Board.Vitals.read([&](const VitalsTable &Vitals) {
            return !Vitals.isSuspect(Other->To.Target->life(), Now);
@@ -146,17 +150,17 @@
 
 bool RelayPolicy::hasRetryLeft(const ServiceId &Service, TimePoint Now) {
   double Share = this->Board.evenShare();
-  return this->Board.Spend.write([&](SpendTable &Rows) {
-    auto At = Rows.find(Service);
-    return At != Rows.end() && At->second.allows(Share, Now);
+  return this->Board.Spend.write([&](SpendTable &Limits) {
+    auto At = Limits.find(Service);
+    return At != Limits.end() && At->second.allows(Share, Now);
   });
 }
 
 bool RelayPolicy::takeRetry(const ServiceId &Service, TimePoint Now) {
   double Share = this->Board.evenShare();
-  bool Taken = this->Board.Spend.write([&](SpendTable &Rows) {
-    auto At = Rows.find(Service);
-    return At != Rows.end() && At->second.take(Share, Now);
+  bool Taken = this->Board.Spend.write([&](SpendTable &Limits) {
+    auto At = Limits.find(Service);
+    return At != Limits.end() && At->second.take(Share, Now);
   });
   if (Taken)
     this->Board.Counters.add(Counter::Retries);
--- a/src/entry/relay_policy.h
+++ b/src/entry/relay_policy.h
@@ -8,44 +8,46 @@
 
 namespace waycove {
 
-/// A target, and what it was chosen by.
-struct ChosenTarget {
+/// A target and the state of the registry by which it was selected.
+struct SelectedTarget {
   Serving To;
   RegistrySnapshot Snapshot;
 };
 
-/// Decides where a request is sent, and whether once more: by the targets that
-/// serve, by what the route allows, and within the second sends that all share.
+/// Decides to which target a request is sent and whether it is retried, by the
+/// serving targets, the route and the retry limit that all requests share.
 /// Thread-safe.
 class RelayPolicy {
 public:
   explicit RelayPolicy(EntryBoard &Board) : Board(Board) {}
 
-  /// Counts a request that was admitted, for demand and second sends.
+  /// Counts an admitted request in the demand and for the retry limit.
   void recordRequest(const RelayRequest &Request);
-  /// Whether the request may be sent, for what is known of requests that end
-  /// their targets. Where it may once, that is used up.
+  /// Whether the request may be sent, given which requests are blamed for
+  /// crashes of targets. If a single trial is allowed, this call uses it up.
   bool maySend(const RelayRequest &Request, TimePoint Now);
-  /// Learns from how a send ended whether its target ended with it.
+  /// Records the outcome of an attempt, so that requests that crash targets
+  /// are recognized.
   void recordOutcome(const RelayRequest &Request, const RelayAttempt &Attempt,
                      AttemptEnd End, TimePoint Now);
-  /// The best target that the request was not sent to yet.
-  std::optional<ChosenTarget> choose(const RelayRequest &Request,
-                                     const RelayProgress &Progress,
-                                     TimePoint Now);
-  /// Whether one more send is allowed after one that did not end well.
+  /// The best target that the request has not been sent to yet.
+  std::optional<SelectedTarget> choose(const RelayRequest &Request,
+                                       const RelayProgress &Progress,
+                                       TimePoint Now);
+  /// Whether another attempt is allowed after a failed one.
   static bool mayRetry(const RelayRequest &Request,
                        const RelayProgress &Progress);
-  /// Whether a send that shows no progress should be left for another target:
-  /// one must be there that is not under suspicion itself.
+  /// Whether an attempt without progress should be abandoned for another
+  /// target. That requires one that is not suspected itself.
   bool mayAbandon(const RelayRequest &Request, const RelayProgress &Progress,
                   TimePoint Now);
-  /// Takes one second send; false where none is left in this window.
+  /// Takes one retry from the limit. Returns false if none is left in this
+  /// window.
   bool takeRetry(const ServiceId &Service, TimePoint Now);
 
 private:
-  /// Whether this request is one of those that leave a data centre whose
-  /// targets are busier than others.
+  /// Whether this request may go to another data centre because the local
+  /// targets are busier. It depends on the request's random bits.
   bool mayLeaveDataCentre(const RelayRequest &Request,
                           const std::string &Model) const;
   bool hasRetryLeft(const ServiceId &Service, TimePoint Now);
--- a/src/entry/relay_request.cpp
+++ b/src/entry/relay_request.cpp
@@ -10,16 +10,15 @@
 
 namespace {
 
-/// Capacity is back within about this time of most failures: a group forms
-/// anew on staged VMs in 1.6 s, after about as long to notice.
-constexpr Millis UsualRepair(1500);
-/// Callers wait no longer than this part of the time that they have.
-constexpr int CallerPatience = 3;
-constexpr Millis DefaultDeadline(10000);
+/// Time in which capacity is usually restored after a failure.
+constexpr Millis TypicalRepairTime(1500);
+/// Retry-After is at most the caller's timeout divided by this.
+constexpr int RetryAfterDivisor = 3;
+constexpr Millis DefaultTimeout(10000);
 
 } // namespace
 
-ContentHash contentOf(const RelayRequest &Request) {
+ContentHash contentHashOf(const RelayRequest &Request) {
   const std::string &Uri = Request.Head.getURI();
   const std::string &Caller =
       Request.Workspace.empty() ? Request.Info.ApiKey : Request.Workspace.Text;
@@ -30,9 +29,10 @@
 absl::Status admitRequest(const EntryBoard &Board, RelayRequest &Request,
                           TimePoint Now) {
   RoutingConfigRef Config =
-      Board.Routing.read([](const RoutingConfigRef &Row) { return Row; });
+      Board.Routing.read([](const RoutingConfigRef &Config) { return Config; });
   if (!Config)
-    return makeError(ErrorKind::NotReady, "no configuration yet", UsualRepair);
+    return makeError(ErrorKind::NotReady, "no configuration yet",
+                     TypicalRepairTime);
   const std::string &Uri = Request.Head.getURI();
   std::string_view Path(Uri.data(), std::min(Uri.find('?'), Uri.size()));
   const HttpRoute *Route = Config->find(Request.Head.get("Host", ""), Path);
@@ -43,30 +43,30 @@
     if (Board.Config.Entry->RevokeFailClosed && !Board.ConfigFresh.holds(Now))
       return makeError(ErrorKind::NotReady,
                        "the store does not confirm that keys are current",
-                       UsualRepair);
+                       TypicalRepairTime);
     auto Owner = Config->Keys.find(Request.Info.ApiKey);
     if (Owner == Config->Keys.end())
       return makeError(ErrorKind::Unauthenticated, "no workspace has this key");
     Workspace = Owner->second.Workspace;
     Request.Owner = &Owner->second;
   }
-  Millis Wait = Request.Info.Timeout.value_or(DefaultDeadline);
+  Millis Timeout = Request.Info.Timeout.value_or(DefaultTimeout);
   if (Route->Timeout.count() > 0)
-    Wait = std::min(Wait, Route->Timeout);
-  Request.Deadline = Request.ArrivedAt + Wait;
+    Timeout = std::min(Timeout, Route->Timeout);
+  Request.Deadline = Request.ArrivedAt + Timeout;
   Request.Config = std::move(Config);
   Request.Route = Route;
   Request.Workspace = std::move(Workspace);
   Request.Service = pickBackend(*Route, Request.Random);
-  Request.Content = contentOf(Request);
+  Request.Content = contentHashOf(Request);
   return absl::OkStatus();
 }
 
-Millis comeBackAfter(const RelayRequest &Request) {
-  Millis Most =
+Millis suggestRetryAfter(const RelayRequest &Request) {
+  Millis Max =
       std::chrono::duration_cast<Millis>(Request.Deadline - Request.ArrivedAt) /
-      CallerPatience;
-  return std::min(UsualRepair, Most);
+      RetryAfterDivisor;
+  return std::min(TypicalRepairTime, Max);
 }
 
 } // namespace waycove
--- a/src/entry/relay_request.h
+++ b/src/entry/relay_request.h
@@ -12,68 +12,68 @@
 
 namespace waycove {
 
-/// One caller's request on its way through this node.
+/// A caller's request and what admission found out about it.
 struct RelayRequest {
   Poco::Net::HTTPRequest Head;
   std::string Body;
   CallerRequestInfo Info;
   TimePoint ArrivedAt;
   TimePoint Deadline;
-  /// The configuration under which it was admitted last; keeps Route alive.
+  /// The configuration under which it was admitted. Owns Route and Owner.
   RoutingConfigRef Config;
   const HttpRoute *Route = nullptr;
-  /// Empty on public routes without key.
+  /// Empty on public routes and where no workspaces are configured.
   WorkspaceId Workspace;
-  /// To whom its key belongs; null on public routes. Config keeps it alive.
+  /// Owner of the API key; null where Workspace is empty.
   const KeyOwner *Owner = nullptr;
   ServiceId Service;
-  /// The same for each attempt of its caller, at any node.
+  /// The same whenever the caller sends the request again, at any node.
   ContentHash Content;
-  /// Chosen once, so that a new look at the configuration changes nothing
-  /// that it need not.
+  /// Random bits of this request, for all random decisions about it.
   std::uint64_t Random = 0;
 };
 
-/// The state of the registry that a target was chosen by.
+/// The state of the registry by which a target was selected.
 struct RegistrySnapshot {
-  /// End of its records; the same on all nodes.
+  /// End of the applied records; comparable between nodes.
   StorePosition Position;
-  /// Since when that may have changed without this node's knowing.
+  /// For how long the registry may have changed without this node knowing.
   Millis Age{0};
 };
 
-/// How a request's sends went so far.
+/// What the attempts for a request have led to so far.
 struct RelayProgress {
-  /// Targets that it was offered to.
+  /// Targets to which an attempt was made.
   std::vector<VmId> Tried;
-  /// Sends that reached, or may have reached, a target.
+  /// Attempts that reached, or may have reached, a target.
   unsigned SentCount = 0;
-  /// Of these, how many may have begun to run.
+  /// Of these, how many may have started to run there.
   unsigned MayHaveRun = 0;
-  /// Of the newest choice; nothing before the first.
+  /// Of the latest target selection.
   std::optional<RegistrySnapshot> Snapshot;
-  /// Last event that the caller was given.
+  /// Last event that was sent to the caller.
   std::optional<std::uint64_t> LastEvent;
-  /// From the request's arrival to the first byte of an answer.
+  /// From the request's arrival to the first byte of a response.
   std::optional<Millis> FirstByte;
-  /// A target's own failure, to be given where no other target does better.
+  /// A target's error response, which the caller gets if no other target
+  /// succeeds.
   std::optional<Poco::Net::HTTPResponse> Failure;
   std::string FailureBody;
   std::string Reason;
 };
 
-/// What \p Request, which was admitted, asks for and who asks. A workspace's
-/// keys change; where none is known the key itself stands for the caller.
-ContentHash contentOf(const RelayRequest &Request);
+/// Hash of the content of an admitted request and of its caller. The caller is
+/// the workspace, whose keys may change, or else the API key.
+ContentHash contentHashOf(const RelayRequest &Request);
 
-/// Looks the request up in the present configuration: route, key, deadline.
-/// What it finds holds for all sends of the request: what is taken away later
-/// concerns requests that come later. Errors: NotReady, NotFound,
+/// Sets the request's route, workspace, service and deadline by the current
+/// configuration. They hold for all attempts; later changes of the
+/// configuration only affect later requests. Errors: NotReady, NotFound,
 /// Unauthenticated.
 absl::Status admitRequest(const EntryBoard &Board, RelayRequest &Request,
                           TimePoint Now);
 
-/// When a caller that was refused should come back.
-Millis comeBackAfter(const RelayRequest &Request);
+/// After how long a refused caller should try again.
+Millis suggestRetryAfter(const RelayRequest &Request);
 
 } // namespace waycove
--- a/src/entry/response_forwarder.h
+++ b/src/entry/response_forwarder.h
@@ -10,23 +10,23 @@
 
 namespace waycove {
 
-/// Reads targets' answers and passes them on to callers: whole ones at once,
-/// streams event by event. What is not certainly the target's own, whole and
-/// in order is not passed on. Thread-safe.
+/// Reads targets' responses and forwards them to callers, streams event by
+/// event and other responses whole. Only forwards what provably comes from the
+/// target and is complete and in order. Thread-safe.
 template <CallerProtocol Protocol> class ResponseForwarder {
 public:
   ResponseForwarder(EntryBoard &Board, TargetConnectionPool &Pool,
                     ResponseWait &Waiter, RelayLog &Log)
       : Board(Board), Pool(Pool), Waiter(Waiter), Log(Log) {}
 
-  /// Reads the answer to the attempt's send and gives it to the caller; how the
-  /// attempt ends.
-  AttemptEnd read(RelayExchange &Ex, RelayAttempt &Attempt) {
+  /// Reads the response to an attempt and forwards it to the caller. Returns
+  /// how the attempt ends.
+  AttemptEnd forward(RelayExchange &Ex, RelayAttempt &Attempt) {
     std::string &Buffer = Attempt.Connection->buffer();
-    for (unsigned Skipped = 0; Skipped <= MostSkipped;) {
+    for (unsigned Skipped = 0; Skipped <= MaxSkipped;) {
       std::optional<std::size_t> Length = headLength(Buffer);
       if (!Length) {
-        if (Buffer.size() > MostHeadBytes)
+        if (Buffer.size() > MaxHeadBytes)
           break;
         if (std::optional<AttemptEnd> End =
                 this->Waiter.waitForBytes(Ex, Attempt))
@@ -46,10 +46,10 @@
       TargetResponseInfo Info = Protocol::readResponseInfo(*Head);
       if (Info.Id == Ex.Request.Info.Id)
         return this->forwardResponse(Ex, Attempt, *Head, Info, *Body);
-      // A late answer to a request before ours: drop it, ours follows.
+      // A late response to an earlier request: discard it, ours follows.
       ++Skipped;
-      std::string Dropped;
-      if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, *Body, Dropped);
+      std::string Discarded;
+      if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, *Body, Discarded);
           End != AttemptEnd::Done)
         return End;
     }
@@ -58,17 +58,16 @@
   }
 
 private:
-  /// A target that takes no more for now.
-  static constexpr Millis FullTime{300};
-  /// A target that is no head of a group, against what the registry says: a VM
-  /// that started again behind a cut from the registry is listed as before
-  /// until the cut ends, or three heartbeats passed. Asked again each 0.3 s,
-  /// such heads used up the second sends of all others. What the registry shows
-  /// anew ends it (RegistryFollower).
-  static constexpr Millis MistakenTime{3600};
-  static constexpr std::size_t MostHeadBytes = 64 << 10;
-  /// Late answers to requests before ours that are skipped on a connection.
-  static constexpr unsigned MostSkipped = 3;
+  /// For how long a target that declined a request is avoided.
+  static constexpr Millis DeclinedDuration{300};
+  /// The same for a target that is not what the registry says. A VM that
+  /// restarted while cut off from the registry stays listed for up to three
+  /// heartbeats, and retries at it would use up the retry limit. A change of
+  /// its registry entry ends this early (RegistryFollower).
+  static constexpr Millis WrongTargetDuration{3600};
+  static constexpr std::size_t MaxHeadBytes = 64 << 10;
+  /// Late responses to earlier requests that are skipped on a connection.
+  static constexpr unsigned MaxSkipped = 3;
 
   AttemptEnd forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
                              const Poco::Net::HTTPResponse &Head,
@@ -78,11 +77,12 @@
     if (Info.NotRun) {
       std::string Unused;
       if (this->Waiter.readBody(Ex, Attempt, Body, Unused) == AttemptEnd::Done)
-        this->keepConnection(Ex, Attempt, Head, Info, Body);
+        this->returnConnection(Ex, Attempt, Head, Info, Body);
       Attempt.Reason = "not taken, status " + std::to_string(Status);
       this->Log.suspectTarget(Attempt.To.Target->life(),
-                        Info.WrongTarget ? MistakenTime : FullTime,
-                        Attempt.Reason, Ex.Request.Info.Id);
+                              Info.WrongTarget ? WrongTargetDuration
+                                               : DeclinedDuration,
+                              Attempt.Reason, Ex.Request.Info.Id);
       return AttemptEnd::Refused;
     }
     this->recordFirstByte(Ex, Attempt);
@@ -108,7 +108,7 @@
     if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
         End != AttemptEnd::Done)
       return End;
-    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (Ex.Response.hasStarted()) {
       Attempt.Reason = "status " + std::to_string(Head.getStatus()) +
                        " where a stream was to go on";
@@ -124,7 +124,8 @@
     return Ex.deliver(Head, Bytes) ? AttemptEnd::Done : AttemptEnd::CallerGone;
   }
 
-  /// Passes whole events on as they come, from where the caller is.
+  /// Forwards whole events as they arrive, starting after the last event that
+  /// the caller has.
   AttemptEnd forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
                            const Poco::Net::HTTPResponse &Head,
                            const TargetResponseInfo &Info, BodyDecoder &Body) {
@@ -133,12 +134,13 @@
     while (true) {
       Body.feed(Attempt.Connection->buffer(), Payload);
       std::string Ready;
-      bool InOrder = takeEvents(Ex, Payload, FirstEvent, Ready);
+      bool InOrder = extractEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
         this->Board.Vitals.write([&](VitalsTable &Vitals) {
           Vitals.onProgress(Attempt.To.Target->life(), Attempt.LastByte);
         });
-      // What came in order counts as had by the caller: it goes out first.
+      // LastEvent already includes these events, so they are sent even if the
+      // next one is out of order.
       if (!forwardEvents(Ex, Head, Ready))
         return AttemptEnd::CallerGone;
       if (!InOrder) {
@@ -157,10 +159,10 @@
     }
   }
 
-  /// Moves the whole events of \p Payload to \p Ready; false where one is out
-  /// of order.
-  static bool takeEvents(RelayExchange &Ex, std::string &Payload,
-                         bool &FirstEvent, std::string &Ready) {
+  /// Moves the whole events of \p Payload to \p Ready. Returns false if one is
+  /// out of order.
+  static bool extractEvents(RelayExchange &Ex, std::string &Payload,
+                            bool &FirstEvent, std::string &Ready) {
     while (std::optional<StreamEvent> Event = takeEvent(Payload)) {
       if (!isInOrder(Ex, *Event, FirstEvent))
         return false;
@@ -176,11 +178,13 @@
                         bool First) {
     if (!Event.Id || !Ex.Progress.LastEvent)
       return true;
-    // A resumed stream has to go on right behind the last event.
+    // A resumed stream has to continue directly after the last event.
     return First ? *Event.Id == *Ex.Progress.LastEvent + 1
                  : *Event.Id > *Ex.Progress.LastEvent;
   }
 
+  /// Sends events to the caller, after the head if they are the first. Returns
+  /// false if the caller has left.
   static bool forwardEvents(RelayExchange &Ex,
                             const Poco::Net::HTTPResponse &Head,
                             const std::string &Ready) {
@@ -195,15 +199,17 @@
     return Ex.Response.sendChunk(Ready, Ex.writeUntil()) == IoStatus::Ok;
   }
 
+  /// Ends the response after the last event. \p Remainder holds the bytes that
+  /// are no whole event.
   AttemptEnd endStream(RelayExchange &Ex, RelayAttempt &Attempt,
                        const Poco::Net::HTTPResponse &Head,
                        const TargetResponseInfo &Info, const BodyDecoder &Body,
-                       const std::string &Rest) {
-    if (!Rest.empty()) {
+                       const std::string &Remainder) {
+    if (!Remainder.empty()) {
       Attempt.Reason = "the stream ends within an event";
       return AttemptEnd::Broken;
     }
-    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (!Ex.Response.hasStarted())
       return Ex.deliver(Head, "") ? AttemptEnd::Done : AttemptEnd::CallerGone;
     return Ex.Response.endStream(Ex.writeUntil()) == IoStatus::Ok
@@ -211,19 +217,21 @@
                : AttemptEnd::CallerGone;
   }
 
-  void keepConnection(const RelayExchange &Ex, RelayAttempt &Attempt,
-                      const Poco::Net::HTTPResponse &Head,
-                      const TargetResponseInfo &Info, const BodyDecoder &Body) {
+  /// Returns the connection to the pool if it can carry another request.
+  void returnConnection(const RelayExchange &Ex, RelayAttempt &Attempt,
+                        const Poco::Net::HTTPResponse &Head,
+                        const TargetResponseInfo &Info,
+                        const BodyDecoder &Body) {
     if (!Head.getKeepAlive() || Body.kind() == Framing::UntilClose)
       return;
     const VmLife Target = Attempt.To.Target->life();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
-    unsigned Most = keptConnections(Spec ? Spec->MaxConnections : 1,
-                                    this->Board.evenShare(),
-                                    this->Board.Config.Node, Target.Id);
+    unsigned Max = keptConnections(Spec ? Spec->MaxConnections : 1,
+                                   this->Board.evenShare(),
+                                   this->Board.Config.Node, Target.Id);
     this->Pool.put(Target, std::move(*Attempt.Connection),
-                    Info.KeepAlive.value_or(Millis(0)), Most,
-                    SystemClock{}.now());
+                   Info.KeepAlive.value_or(Millis(0)), Max,
+                   SystemClock{}.now());
     Attempt.Connection.reset();
   }
 
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -8,39 +8,39 @@
 
 namespace {
 
-/// A head that stands still is left for this time: one that lost a member
-/// stands for 5 s and is then broken for good.
-constexpr Millis SilentTime{4000};
-/// Least silence that counts as standing still. Measured: events come up to
-/// 180 ms apart on a busy engine.
-constexpr Millis LeastPatience{500};
-/// When a wait first looks at how the target does otherwise, and again.
-constexpr Millis FirstLook{340};
-constexpr Millis LookAgain{120};
-/// A first byte may take this many times what it usually takes there.
+/// An unresponsive target is avoided for this long. A group that lost a member
+/// stalls for 5 s before it is reported as broken.
+constexpr Millis UnresponsiveDuration{4000};
+/// Shortest silence after which a target counts as unresponsive. Events of a
+/// busy engine may be 180 ms apart.
+constexpr Millis MinPatience{500};
+/// When a wait first checks the target's other requests, and then how often.
+constexpr Millis FirstCheckDelay{340};
+constexpr Millis CheckInterval{120};
+/// A first byte may take this many times as long as usual at the target.
 constexpr double SlowFactor = 4;
-/// Error bodies and answers of plain services are held whole up to this.
-constexpr std::size_t MostHeld = 16 << 20;
+/// Limit on a body that is buffered whole.
+constexpr std::size_t MaxBodyBytes = 16 << 20;
 
 constexpr const char *ClosedReason = "the connection closed";
 
-/// How a target looks from all nodes.
-struct Sight {
-  bool StandsStill = false;
+/// What all nodes together have observed of a target.
+struct Observation {
+  bool IsStalled = false;
   Millis Silence{0};
-  /// Usual time to the first byte; 0 where others' sight tells more.
+  /// Usual time to the first byte; 0 where other nodes' reports are current.
   double FirstByteMs = 0;
 };
 
-std::optional<AttemptEnd> takeBytes(RelayAttempt &Attempt, TimePoint Now) {
-  IoStatus End = Attempt.Connection->fillNow();
-  if (End == IoStatus::Ok || End == IoStatus::Timeout) {
+std::optional<AttemptEnd> receiveBytes(RelayAttempt &Attempt, TimePoint Now) {
+  IoStatus Status = Attempt.Connection->fillNow();
+  if (Status == IoStatus::Ok || Status == IoStatus::Timeout) {
     Attempt.LastByte = Now;
     return std::nullopt;
   }
   Attempt.ConnectionLost = true;
   Attempt.Reason =
-      End == IoStatus::Closed ? ClosedReason : "the connection broke";
+      Status == IoStatus::Closed ? ClosedReason : "the connection broke";
   return AttemptEnd::Broken;
 }
 
@@ -48,14 +48,15 @@
 
 std::optional<AttemptEnd> ResponseWait::waitForBytes(RelayExchange &Ex,
                                                      RelayAttempt &Attempt) {
-  TimePoint Until = std::min(Ex.Request.Deadline, Attempt.LastByte + FirstLook);
+  TimePoint Until =
+      std::min(Ex.Request.Deadline, Attempt.LastByte + FirstCheckDelay);
   while (true) {
-    Side News = waitEither(*Attempt.Connection,
-                           Attempt.WatchCaller ? &Ex.Caller : nullptr, Until);
+    Side Readable = waitEither(
+        *Attempt.Connection, Attempt.WatchCaller ? &Ex.Caller : nullptr, Until);
     TimePoint Now = SystemClock{}.now();
-    if (News == Side::Target)
-      return takeBytes(Attempt, Now);
-    if (News == Side::Caller) {
+    if (Readable == Side::Target)
+      return receiveBytes(Attempt, Now);
+    if (Readable == Side::Caller) {
       if (Ex.Caller.isClosedByPeer()) {
         Attempt.Reason = "the caller left";
         return AttemptEnd::CallerGone;
@@ -67,14 +68,14 @@
       Attempt.Reason = "the deadline passed";
       return AttemptEnd::Stalled;
     }
-    if (this->isSilentTooLong(Ex, Attempt, Now) &&
+    if (this->isUnresponsive(Ex, Attempt, Now) &&
         this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
-      this->Log.suspectTarget(Attempt.To.Target->life(), SilentTime, Attempt.Reason,
-                        Ex.Request.Info.Id);
+      this->Log.suspectTarget(Attempt.To.Target->life(), UnresponsiveDuration,
+                              Attempt.Reason, Ex.Request.Info.Id);
       return AttemptEnd::Stalled;
     }
-    // Look again in a while: others may show that the target stands still.
-    Until = std::min(Ex.Request.Deadline, Now + LookAgain);
+    // Check again later: reports of other nodes may show that it is stalled.
+    Until = std::min(Ex.Request.Deadline, Now + CheckInterval);
   }
 }
 
@@ -90,12 +91,12 @@
 }
 
 AttemptEnd ResponseWait::readBody(RelayExchange &Ex, RelayAttempt &Attempt,
-                                  BodyDecoder &Body, std::string &Into) {
+                                  BodyDecoder &Body, std::string &Payload) {
   while (true) {
-    Body.feed(Attempt.Connection->buffer(), Into);
+    Body.feed(Attempt.Connection->buffer(), Payload);
     if (Body.isDone())
       return AttemptEnd::Done;
-    if (Body.isMalformed() || Into.size() > MostHeld) {
+    if (Body.isMalformed() || Payload.size() > MaxBodyBytes) {
       Attempt.Reason = "the answer's framing is damaged";
       return AttemptEnd::Broken;
     }
@@ -104,29 +105,31 @@
   }
 }
 
-/// Whether the target has to be taken for standing still. A slow answer
-/// alone does not show it: a busy target gives its other answers meanwhile.
-bool ResponseWait::isSilentTooLong(const RelayExchange &Ex,
-                                   RelayAttempt &Attempt, TimePoint Now) {
+/// Whether the target counts as unresponsive. One slow response is not enough:
+/// a busy target still makes progress with other requests.
+bool ResponseWait::isUnresponsive(const RelayExchange &Ex,
+                                  RelayAttempt &Attempt, TimePoint Now) {
   const HttpRoute &Route = *Ex.Request.Route;
   const VmLife Target = Attempt.To.Target->life();
-  Sight Seen = this->Board.Vitals.read([&](const VitalsTable &Rows) {
-    return Sight{Rows.standsStill(Target, Now), Rows.silence(Target, Now),
-                 Rows.hasNews(Now) ? 0 : Rows.of(Target).FirstByteMs};
-  });
+  Observation Observed =
+      this->Board.Vitals.read([&](const VitalsTable &Vitals) {
+        return Observation{
+            Vitals.standsStill(Target, Now), Vitals.silence(Target, Now),
+            Vitals.hasNews(Now) ? 0 : Vitals.of(Target).FirstByteMs};
+      });
   Millis Goal = Attempt.FirstByteSeen ? Route.PauseGoal : Route.Goal;
-  Millis Patience = std::max(LeastPatience, 2 * Goal);
+  Millis Patience = std::max(MinPatience, 2 * Goal);
   if (!Attempt.FirstByteSeen)
     Patience = std::max(Patience, Millis(static_cast<std::int64_t>(
-                                      SlowFactor * Seen.FirstByteMs)));
-  bool Still = Seen.StandsStill && !Attempt.FirstByteSeen;
+                                      SlowFactor * Observed.FirstByteMs)));
+  bool Stalled = Observed.IsStalled && !Attempt.FirstByteSeen;
   bool TooLong =
-      Now - Attempt.LastByte >= Patience && Seen.Silence >= LeastPatience;
-  if (Still)
+      Now - Attempt.LastByte >= Patience && Observed.Silence >= MinPatience;
+  if (Stalled)
     Attempt.Reason = "none of its answers moves";
   else if (TooLong)
     Attempt.Reason = "silent for " + std::to_string(Patience.count()) + " ms";
-  return Still || TooLong;
+  return Stalled || TooLong;
 }
 
 } // namespace waycove
--- a/src/entry/response_wait.h
+++ b/src/entry/response_wait.h
@@ -9,27 +9,27 @@
 
 namespace waycove {
 
-/// Waits for a target's answer while the caller waits too, and tells a target
-/// that stands still from one that is busy. Thread-safe.
+/// Waits for a target's response, watches whether the caller leaves, and
+/// distinguishes an unresponsive target from a busy one. Thread-safe.
 class ResponseWait {
 public:
   ResponseWait(EntryBoard &Board, RelayPolicy &Policy, RelayLog &Log)
       : Board(Board), Policy(Policy), Log(Log) {}
 
-  /// Waits for more from the target. Nothing where bytes came; else how the
-  /// attempt ends.
+  /// Waits for bytes from the target. Returns how the attempt ends, or nothing
+  /// if bytes were received.
   std::optional<AttemptEnd> waitForBytes(RelayExchange &Ex,
                                          RelayAttempt &Attempt);
-  /// The same within a body, which may end where the connection does.
+  /// The same within a body, which the end of the connection may complete.
   std::optional<AttemptEnd>
   waitForBody(RelayExchange &Ex, RelayAttempt &Attempt, BodyDecoder &Body);
-  /// Reads a whole body; Done where it came.
+  /// Reads a whole body. Returns Done if it is complete.
   AttemptEnd readBody(RelayExchange &Ex, RelayAttempt &Attempt,
-                      BodyDecoder &Body, std::string &Into);
+                      BodyDecoder &Body, std::string &Payload);
 
 private:
-  bool isSilentTooLong(const RelayExchange &Ex, RelayAttempt &Attempt,
-                       TimePoint Now);
+  bool isUnresponsive(const RelayExchange &Ex, RelayAttempt &Attempt,
+                      TimePoint Now);
 
   EntryBoard &Board;
   RelayPolicy &Policy;
--- a/src/entry/target_connection_pool.cpp
+++ b/src/entry/target_connection_pool.cpp
@@ -8,53 +8,54 @@
 
 namespace {
 
-/// Where a target does not say how long it keeps a connection: short, since a
-/// request on a connection that it has just closed may be lost.
-constexpr Millis ShortRest(1000);
-/// A target's own time ends a little before it says, as we count from the
-/// answer's arrival.
-constexpr Millis RestMargin(500);
+/// Idle time for a target that states none. Short, since a request on a
+/// connection that the target closes at that moment may be lost.
+constexpr Millis DefaultIdleTime(1000);
+/// Safety margin below the target's idle timeout, which starts before its
+/// response arrives here.
+constexpr Millis IdleTimeMargin(500);
 
 } // namespace
 
 std::optional<Channel> TargetConnectionPool::take(const VmLife &Target,
                                                   TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  auto At = this->Rows.find(Target);
-  if (At == this->Rows.end())
+  auto At = this->ByTarget.find(Target);
+  if (At == this->ByTarget.end())
     return std::nullopt;
   while (!At->second.empty()) {
-    IdleConnection Row = std::move(At->second.back());
+    IdleConnection Idle = std::move(At->second.back());
     At->second.pop_back();
-    // Bytes that wait here belong to no request of ours.
-    if (Row.GoodUntil > Now && Row.Connection.fillNow() == IoStatus::Timeout)
-      return std::move(Row.Connection);
+    // Unexpected bytes would be read as the response to the next request.
+    if (Idle.GoodUntil > Now && Idle.Connection.fillNow() == IoStatus::Timeout)
+      return std::move(Idle.Connection);
   }
   return std::nullopt;
 }
 
 void TargetConnectionPool::put(const VmLife &Target, Channel Connection,
-                               Millis KeepAlive, unsigned Most, TimePoint Now) {
-  Millis Rest = KeepAlive.count() > 0 ? KeepAlive - RestMargin : ShortRest;
-  if (Rest.count() <= 0 || Most == 0 || !Connection.buffer().empty())
+                               Millis KeepAlive, unsigned Max, TimePoint Now) {
+  Millis IdleTime =
+      KeepAlive.count() > 0 ? KeepAlive - IdleTimeMargin : DefaultIdleTime;
+  if (IdleTime.count() <= 0 || Max == 0 || !Connection.buffer().empty())
     return;
   std::lock_guard Lock(this->Mutex);
-  auto &Row = this->Rows[Target];
-  Row.push_back({std::move(Connection), Now + Rest});
-  if (Row.size() > Most)
-    Row.pop_front();
+  auto &Connections = this->ByTarget[Target];
+  Connections.push_back({std::move(Connection), Now + IdleTime});
+  if (Connections.size() > Max)
+    Connections.pop_front();
 }
 
 void TargetConnectionPool::sweep(
     const std::function<bool(const VmLife &)> &IsListed, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  for (auto At = this->Rows.begin(); At != this->Rows.end();) {
-    std::deque<IdleConnection> &Row = At->second;
-    // The oldest stand in front.
-    while (!Row.empty() && Row.front().GoodUntil <= Now)
-      Row.pop_front();
-    bool Drop = Row.empty() || !IsListed(At->first);
-    At = Drop ? this->Rows.erase(At) : std::next(At);
+  for (auto At = this->ByTarget.begin(); At != this->ByTarget.end();) {
+    std::deque<IdleConnection> &Connections = At->second;
+    // The oldest are at the front.
+    while (!Connections.empty() && Connections.front().GoodUntil <= Now)
+      Connections.pop_front();
+    bool Drop = Connections.empty() || !IsListed(At->first);
+    At = Drop ? this->ByTarget.erase(At) : std::next(At);
   }
 }
 
--- a/src/entry/target_connection_pool.h
+++ b/src/entry/target_connection_pool.h
@@ -13,17 +13,19 @@
 
 namespace waycove {
 
-/// Kept connections to targets, by life: a new one at an old address, also
-/// under the same id, never gets a connection of the one before. Thread-safe.
+/// Idle connections to targets, by incarnation: a target that restarted never
+/// gets a connection of the process before it. Thread-safe.
 class TargetConnectionPool {
 public:
-  /// A kept connection that is still good; nothing where there is none.
+  /// Takes an idle connection that is still usable, if there is one.
   std::optional<Channel> take(const VmLife &Target, TimePoint Now);
-  /// Keeps a connection whose last answer was whole for \p KeepAlive, unless
-  /// \p Most to this target rest already.
+  /// Adds a connection whose last response was complete. \p KeepAlive is the
+  /// target's idle timeout, 0 if unknown. If there are more than \p Max to this
+  /// target, the oldest is closed.
   void put(const VmLife &Target, Channel Connection, Millis KeepAlive,
-           unsigned Most, TimePoint Now);
-  /// Closes what has rested too long, and all of targets not listed.
+           unsigned Max, TimePoint Now);
+  /// Closes connections that were idle too long and those to targets that are
+  /// not listed.
   void sweep(const std::function<bool(const VmLife &)> &IsListed,
              TimePoint Now);
 
@@ -33,7 +35,7 @@
     TimePoint GoodUntil;
   };
   std::mutex Mutex;
-  std::map<VmLife, std::deque<IdleConnection>> Rows;
+  std::map<VmLife, std::deque<IdleConnection>> ByTarget;
 };
 
 } // namespace waycove
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -13,44 +13,47 @@
 
 namespace waycove {
 
-/// How a wait or a transfer on a connection ended.
+/// Result of a wait or a transfer on a connection.
 enum class IoStatus {
   Ok,
   Timeout,
-  /// The other end closed in good order.
+  /// The peer closed the connection regularly.
   Closed,
-  /// Reset, or another error of the socket.
+  /// The connection was reset, or the socket failed.
   Broken,
 };
 
-/// A TCP connection with a buffer of what came and was not taken yet. All
-/// waits have an end on the boot clock. Used by one thread at a time.
+/// A TCP connection with a buffer of received bytes. All waits end at a time on
+/// the boot clock. To be used by one thread at a time.
 class Channel {
 public:
   explicit Channel(const Poco::Net::StreamSocket &Socket);
 
-  /// Connects to \p To. Errors: Timeout, and Broken where it was refused.
+  /// Connects to \p To. Errors: Timeout, and Broken if the connection was
+  /// refused.
   static IoStatus connect(const VmAddress &To, TimePoint Until,
-                          std::optional<Channel> &Into);
+                          std::optional<Channel> &Out);
 
-  /// Breaks the connection where bytes sent are not acknowledged for \p Time:
-  /// a host without power says nothing else.
-  void setAckTimeout(Millis Time);
-  /// Waits until there is something to read, an end too, and takes nothing.
+  /// Breaks the connection if sent bytes are not acknowledged for \p Timeout,
+  /// which detects a host that lost power.
+  void setAckTimeout(Millis Timeout);
+  /// Waits until bytes or the end of the stream can be read. Reads nothing.
   IoStatus waitReadable(TimePoint Until) const;
   /// Whether something can be read now.
   bool isReadable() const;
-  /// Ends both directions; whoever waits on it wakes.
+  /// Ends both directions and wakes a thread that waits on the connection.
   void shutdown();
-  /// Waits for bytes and appends them to the buffer.
+  /// Waits for bytes and appends them to the buffer. Closed if the stream
+  /// ended.
   IoStatus fill(TimePoint Until);
-  /// Appends what is there without waiting; Timeout where nothing is.
+  /// The same without waiting. Timeout if there are no bytes.
   IoStatus fillNow();
-  /// Sends all of \p Bytes, as fast as the other end reads.
+  /// Sends all of \p Bytes.
   IoStatus send(std::string_view Bytes, TimePoint Until);
-  /// Whether the other end has closed or reset. Does not wait, takes nothing.
+  /// Whether the peer has closed or reset the connection. Does not wait and
+  /// reads nothing.
   bool isClosedByPeer();
-  /// Closes so that the other end sees a reset, not an end in good order.
+  /// Closes with a reset, which discards bytes that were not delivered.
   void abort();
 
   std::string &buffer() { return this->Buffer; }
@@ -61,10 +64,10 @@
   std::string Buffer;
 };
 
-/// Which of two connections has news.
+/// Which of two connections can be read.
 enum class Side { Target, Caller, Neither };
 
-/// Waits until \p Target can be read, or \p Caller can (null: not asked).
+/// Waits until \p Target or, if not null, \p Caller can be read.
 Side waitEither(const Channel &Target, const Channel *Caller, TimePoint Until);
 
 } // namespace waycove
--- a/src/net/framing.cpp
+++ b/src/net/framing.cpp
@@ -53,7 +53,7 @@
   });
 }
 
-/// The framing that the fields state; \p Default where they state none.
+/// The framing that the fields declare, or \p Default if they declare none.
 std::optional<BodyDecoder> declaredBody(const Poco::Net::HTTPMessage &Head,
                                         Framing Default) {
   std::vector<std::string> Lengths;
@@ -90,32 +90,32 @@
       return std::nullopt;
     return Head;
   } catch (const Poco::Exception &) {
-    // The caller answers or logs that the message is malformed.
+    // The caller of this function handles malformed messages.
     return std::nullopt;
   }
 }
 
 } // namespace
 
-void BodyDecoder::feed(std::string &Input, std::string &Into) {
+void BodyDecoder::feed(std::string &Input, std::string &Payload) {
   switch (this->Kind) {
   case Framing::None:
     return;
   case Framing::Length: {
     auto Take = static_cast<std::size_t>(
-        std::min<std::uint64_t>(this->Left, Input.size()));
-    Into.append(Input, 0, Take);
+        std::min<std::uint64_t>(this->Remaining, Input.size()));
+    Payload.append(Input, 0, Take);
     Input.erase(0, Take);
-    this->Left -= Take;
+    this->Remaining -= Take;
     return;
   }
   case Framing::UntilClose:
-    Into.append(Input);
+    Payload.append(Input);
     Input.clear();
     return;
   case Framing::Chunked:
-    while (!this->Bad && this->Chunk != ChunkState::Done &&
-           this->readChunkPart(Input, Into))
+    while (!this->Malformed && this->State != ChunkState::Done &&
+           this->readChunkPart(Input, Payload))
       ;
   }
 }
@@ -127,9 +127,9 @@
   case Framing::None:
     return true;
   case Framing::Length:
-    return this->Left == 0;
+    return this->Remaining == 0;
   case Framing::Chunked:
-    return this->Chunk == ChunkState::Done;
+    return this->State == ChunkState::Done;
   case Framing::UntilClose:
     break;
   }
@@ -139,7 +139,7 @@
 std::optional<std::string> BodyDecoder::takeLine(std::string &Input) {
   std::size_t End = Input.find("\r\n");
   if (End == std::string::npos) {
-    this->Bad = Input.size() > MaxChunkLine;
+    this->Malformed = Input.size() > MaxChunkLine;
     return std::nullopt;
   }
   std::string Line = Input.substr(0, End);
@@ -147,35 +147,35 @@
   return Line;
 }
 
-bool BodyDecoder::readChunkPart(std::string &Input, std::string &Into) {
-  if (this->Chunk == ChunkState::Data) {
+bool BodyDecoder::readChunkPart(std::string &Input, std::string &Payload) {
+  if (this->State == ChunkState::Data) {
     auto Take = static_cast<std::size_t>(
-        std::min<std::uint64_t>(this->Left, Input.size()));
-    Into.append(Input, 0, Take);
+        std::min<std::uint64_t>(this->Remaining, Input.size()));
+    Payload.append(Input, 0, Take);
     Input.erase(0, Take);
-    this->Left -= Take;
-    if (this->Left > 0)
+    this->Remaining -= Take;
+    if (this->Remaining > 0)
       return false;
-    this->Chunk = ChunkState::DataEnd;
+    this->State = ChunkState::DataEnd;
   }
   std::optional<std::string> Line = this->takeLine(Input);
   if (!Line)
     return false;
-  if (this->Chunk == ChunkState::DataEnd) {
-    this->Bad = !Line->empty();
-    this->Chunk = ChunkState::Size;
-  } else if (this->Chunk == ChunkState::Size) {
+  if (this->State == ChunkState::DataEnd) {
+    this->Malformed = !Line->empty();
+    this->State = ChunkState::Size;
+  } else if (this->State == ChunkState::Size) {
     auto Size = parseNumber<std::uint64_t>(
         std::string_view(*Line).substr(0, Line->find(';')), 16);
-    this->Bad = !Size || *Size > MaxChunkBytes;
-    if (!this->Bad) {
-      this->Left = *Size;
-      this->Chunk = *Size ? ChunkState::Data : ChunkState::Trailer;
+    this->Malformed = !Size || *Size > MaxChunkBytes;
+    if (!this->Malformed) {
+      this->Remaining = *Size;
+      this->State = *Size ? ChunkState::Data : ChunkState::Trailer;
     }
   } else if (Line->empty()) {
-    this->Chunk = ChunkState::Done;
+    this->State = ChunkState::Done;
   }
-  return !this->Bad;
+  return !this->Malformed;
 }
 
 std::optional<std::size_t> headLength(std::string_view Buffer) {
@@ -214,28 +214,31 @@
 }
 
 void copyEndToEnd(const Poco::Net::MessageHeader &From,
-                  Poco::Net::MessageHeader &Into) {
-  Poco::StringTokenizer Named(From.get("Connection", ""), ",",
-                              Poco::StringTokenizer::TOK_TRIM |
-                                  Poco::StringTokenizer::TOK_IGNORE_EMPTY);
+                  Poco::Net::MessageHeader &Out) {
+  Poco::StringTokenizer ConnectionFields(
+      From.get("Connection", ""), ",",
+      Poco::StringTokenizer::TOK_TRIM |
+          Poco::StringTokenizer::TOK_IGNORE_EMPTY);
   for (const auto &Field : From) {
     const std::string &Name = Field.first;
-    std::string Low = Poco::toLower(Name);
-    bool OneHop =
-        std::find(HopByHop.begin(), HopByHop.end(), Low) != HopByHop.end() ||
-        std::any_of(Named.begin(), Named.end(), [&](const std::string &Row) {
-          return Poco::icompare(Row, Name) == 0;
-        });
-    if (!OneHop && Low != "content-length")
-      Into.add(Name, Field.second);
+    std::string LowerName = Poco::toLower(Name);
+    bool IsHopByHop =
+        std::find(HopByHop.begin(), HopByHop.end(), LowerName) !=
+            HopByHop.end() ||
+        std::any_of(ConnectionFields.begin(), ConnectionFields.end(),
+                    [&](const std::string &Other) {
+                      return Poco::icompare(Other, Name) == 0;
+                    });
+    if (!IsHopByHop && LowerName != "content-length")
+      Out.add(Name, Field.second);
   }
 }
 
 std::optional<StreamEvent> takeEvent(std::string &Buffer) {
   std::size_t End = Buffer.find("\n\n");
   std::size_t Length = 2;
-  if (std::size_t Other = Buffer.find("\r\n\r\n"); Other < End) {
-    End = Other;
+  if (std::size_t CrLfEnd = Buffer.find("\r\n\r\n"); CrLfEnd < End) {
+    End = CrLfEnd;
     Length = HeadEnd.size();
   }
   if (End == std::string::npos)
@@ -244,8 +247,8 @@
   Event.Bytes = Buffer.substr(0, End + Length);
   Buffer.erase(0, End + Length);
   for (std::size_t At = 0; At < Event.Bytes.size();) {
-    std::size_t Stop = Event.Bytes.find('\n', At);
-    std::string_view Line(Event.Bytes.data() + At, Stop - At);
+    std::size_t LineEnd = Event.Bytes.find('\n', At);
+    std::string_view Line(Event.Bytes.data() + At, LineEnd - At);
     if (Line.starts_with("id:")) {
       Line.remove_prefix(3);
       while (!Line.empty() && Line.front() == ' ')
@@ -254,7 +257,7 @@
         Line.remove_suffix(1);
       Event.Id = parseNumber<std::uint64_t>(Line);
     }
-    At = Stop + 1;
+    At = LineEnd + 1;
   }
   return Event;
 }
--- a/src/net/framing.h
+++ b/src/net/framing.h
@@ -13,75 +13,76 @@
 
 namespace waycove {
 
-/// How the end of an HTTP message's body is told.
+/// How the end of an HTTP message's body is determined.
 enum class Framing {
   None,
   Length,
   Chunked,
-  /// It ends with the connection.
+  /// The body ends with the connection.
   UntilClose,
 };
 
-/// Takes a message's body off a stream of bytes as they come. POCO's streams
-/// cannot be used here: they block, and do not tell a cut body from a whole
-/// one.
+/// Decodes a message's body incrementally from a stream of bytes. POCO's
+/// streams are not used because they block and cannot tell a truncated body
+/// from a complete one.
 class BodyDecoder {
 public:
   BodyDecoder(Framing Kind, std::uint64_t Length)
-      : Kind(Kind), Left(Kind == Framing::Length ? Length : 0) {}
+      : Kind(Kind), Remaining(Kind == Framing::Length ? Length : 0) {}
 
-  /// Takes what belongs to the body from the front of \p Input and appends
-  /// the payload to \p Into. Bytes after the body stay.
-  void feed(std::string &Input, std::string &Into);
-  /// The connection closed in good order.
+  /// Removes the body's bytes from the front of \p Input and appends the
+  /// payload to \p Payload. Bytes after the body stay.
+  void feed(std::string &Input, std::string &Payload);
+  /// To be called when the connection was closed regularly.
   void close();
   bool isDone() const;
-  /// The bytes are no body in this framing.
-  bool isMalformed() const { return this->Bad; }
+  /// Whether the bytes violate the framing.
+  bool isMalformed() const { return this->Malformed; }
   Framing kind() const { return this->Kind; }
 
 private:
-  /// Reads chunks, their sizes and trailers; false where more is needed.
-  bool readChunkPart(std::string &Input, std::string &Into);
+  /// Reads the next part of a chunked body: a size, data or a trailer line.
+  /// Returns false if more bytes are needed or the body is malformed.
+  bool readChunkPart(std::string &Input, std::string &Payload);
   std::optional<std::string> takeLine(std::string &Input);
 
   enum class ChunkState { Size, Data, DataEnd, Trailer, Done };
   Framing Kind;
-  std::uint64_t Left;
-  ChunkState Chunk = ChunkState::Size;
+  std::uint64_t Remaining;
+  ChunkState State = ChunkState::Size;
   bool ConnectionClosed = false;
-  bool Bad = false;
+  bool Malformed = false;
 };
 
-/// Length of the message head at the front of \p Buffer, with its empty line;
-/// nothing where it is not whole yet.
+/// Length of the message head at the front of \p Buffer, including its empty
+/// line, or nothing if the head is not complete yet.
 std::optional<std::size_t> headLength(std::string_view Buffer);
 
-/// Takes a request's head from \p Bytes. Nothing where it is malformed, names
-/// its body's end in two ways or in one that is not known, or has field names
-/// that other readers might take differently.
+/// Parses a request's head. Returns nothing if it is malformed or has fields
+/// that other implementations may read differently.
 std::optional<Poco::Net::HTTPRequest> parseRequestHead(std::string_view Bytes);
 std::optional<Poco::Net::HTTPResponse>
 parseResponseHead(std::string_view Bytes);
 
-/// Body framing of a request or, with \p Bodyless telling of HEAD and of
-/// statuses without body, a response. Nothing where it is ambiguous.
+/// Returns a decoder for the body of a request or of a response to a request
+/// with \p Method, or nothing if the framing is ambiguous or unsupported.
 std::optional<BodyDecoder> requestBody(const Poco::Net::HTTPRequest &Head);
 std::optional<BodyDecoder> responseBody(const Poco::Net::HTTPResponse &Head,
                                         const std::string &Method);
 
-/// Copies header fields, except those that concern one connection only.
+/// Copies the end-to-end fields, that is, all but Content-Length and those that
+/// concern one connection only.
 void copyEndToEnd(const Poco::Net::MessageHeader &From,
-                  Poco::Net::MessageHeader &Into);
+                  Poco::Net::MessageHeader &Out);
 
 /// One event of an event stream.
 struct StreamEvent {
-  /// All its bytes, with the empty line at its end.
+  /// All its bytes, including the empty line at the end.
   std::string Bytes;
   std::optional<std::uint64_t> Id;
 };
 
-/// Takes the next whole event off \p Buffer; nothing where there is none yet.
+/// Removes the next whole event from \p Buffer, if there is one.
 std::optional<StreamEvent> takeEvent(std::string &Buffer);
 
 } // namespace waycove
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -17,15 +17,14 @@
 
 namespace {
 
-/// A kept connection older than this is opened anew: the server may just be
-/// closing it, and then nobody could say whether a request was read.
-constexpr Millis KeepOpen(4000);
-/// For the other end to acknowledge what was sent; a lost packet is sent again
-/// after 200 ms. A connection that died without a word shows so at the next
-/// call instead of by that call's time-out.
-constexpr Millis Unacknowledged(400);
-constexpr std::size_t MaxSizeLine = 1024;
-constexpr std::size_t MaxAnswer = 256 << 20;
+/// A connection that was idle for longer is replaced: the server may be closing
+/// it, and then the outcome of a request would be unknown.
+constexpr Millis MaxIdleTime(4000);
+/// Longer than the 200 ms after which a lost packet is retransmitted. Detects a
+/// dead connection before the timeout of the call.
+constexpr Millis AckTimeout(400);
+constexpr std::size_t MaxSizeLineBytes = 1024;
+constexpr std::size_t MaxBodyBytes = 256 << 20;
 
 } // namespace
 
@@ -33,7 +32,7 @@
   std::string Line;
   while (true) {
     int C = this->get();
-    if (C == std::char_traits<char>::eof() || Line.size() > MaxSizeLine)
+    if (C == std::char_traits<char>::eof() || Line.size() > MaxSizeLineBytes)
       throw Poco::Net::NetException("the answer was cut");
     if (C == '\n')
       return Line;
@@ -48,23 +47,23 @@
     std::string Line = this->readSizeLine();
     std::size_t Size = Poco::NumberParser::parseHex(
         Poco::trim(Line.substr(0, Line.find(';'))));
-    // The last chunk is followed by lines that end with an empty one.
+    // The last chunk is followed by trailer lines and an empty line.
     if (Size == 0) {
       while (!this->readSizeLine().empty())
         ;
       return Body;
     }
-    if (Body.size() + Size > MaxAnswer)
+    if (Body.size() + Size > MaxBodyBytes)
       throw Poco::Net::NetException("the answer is too large");
-    std::size_t Have = Body.size();
-    Body.resize(Have + Size);
+    std::size_t Length = Body.size();
+    Body.resize(Length + Size);
     while (Size > 0) {
-      std::streamsize Got =
-          this->read(Body.data() + Have, static_cast<std::streamsize>(Size));
-      if (Got <= 0)
+      std::streamsize Received =
+          this->read(Body.data() + Length, static_cast<std::streamsize>(Size));
+      if (Received <= 0)
         throw Poco::Net::NetException("the answer was cut");
-      Have += static_cast<std::size_t>(Got);
-      Size -= static_cast<std::size_t>(Got);
+      Length += static_cast<std::size_t>(Received);
+      Size -= static_cast<std::size_t>(Received);
     }
     this->readSizeLine();
   }
@@ -83,20 +82,20 @@
                                            Millis Timeout) {
   std::lock_guard Lock(this->Mutex);
   TimePoint Now = BootClock::now();
-  if (!this->Fresh && Now - this->LastUsed > KeepOpen)
+  if (!this->IsNew && Now - this->LastUsed > MaxIdleTime)
     this->Session.reset();
   this->LastUsed = Now;
-  this->Fresh = false;
+  this->IsNew = false;
   bool Sent = false;
   try {
     this->Session.setTimeout(timespanOf(this->ConnectTimeout),
                              timespanOf(Timeout), timespanOf(Timeout));
     this->Session.open();
-    // A kept connection still has the times of the call that opened it.
+    // A reused connection still has the timeouts of the call that opened it.
     this->Session.socket().setReceiveTimeout(timespanOf(Timeout));
     this->Session.socket().setSendTimeout(timespanOf(Timeout));
     this->Session.socket().setOption(IPPROTO_TCP, TCP_USER_TIMEOUT,
-                                     static_cast<int>(Unacknowledged.count()));
+                                     static_cast<int>(AckTimeout.count()));
     Sent = true;
     return this->exchange(Call);
   } catch (const Poco::Exception &Error) {
@@ -111,13 +110,14 @@
   this->Session.reset();
 }
 
-/// Gives up a call: what was not delivered yet must not be delivered later.
+/// Closes the connection with a reset, so that nothing of a failed call is
+/// delivered later.
 void HttpClient::drop() {
   try {
     if (this->Session.connected())
       this->Session.socket().setLinger(true, 0);
   } catch (const Poco::Exception &) {
-    // Reset by the other end already, which is what was wanted.
+    // Already reset by the peer.
   }
   this->Session.reset();
 }
@@ -133,16 +133,16 @@
   } else if (Call.Method != "GET" && Call.Method != "HEAD") {
     Request.setContentLength(0);
   }
-  for (const HttpHeader &Row : Call.Headers)
-    Request.set(Row.Name, Row.Value);
+  for (const HttpHeader &Header : Call.Headers)
+    Request.set(Header.Name, Header.Value);
   std::ostream &Out = this->Session.sendRequest(Request);
   Out << Call.Body;
   this->Counters.add(this->Count.Out, headBytes(Request) + Call.Body.size());
   Poco::Net::HTTPResponse Response;
   std::istream &In = this->Session.receiveResponse(Response);
   HttpReply Reply;
-  // A body that ended before its length or its last chunk is no answer, and
-  // where neither is given, nobody could tell.
+  // A body that may be truncated is rejected, also if it has neither a length
+  // nor chunks.
   int Status = Response.getStatus();
   bool Bodyless = Call.Method == "HEAD" || Status == 204 || Status == 304;
   if (!Bodyless && Response.getChunkedTransferEncoding()) {
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -16,7 +16,7 @@
 
 namespace waycove {
 
-/// Where a caller's bytes are counted.
+/// The counters for a client's bytes.
 struct ByteCounters {
   Counter In;
   Counter Out;
@@ -27,6 +27,7 @@
   std::string Value;
 };
 
+/// A request to be sent.
 struct HttpCall {
   std::string Method;
   std::string Path;
@@ -35,46 +36,47 @@
   std::vector<HttpHeader> Headers;
 };
 
+/// A complete response.
 struct HttpReply {
   int Status = 0;
   std::string ContentType;
   std::string Body;
-  /// Value of the X-Waycove-Not-Run header: the target's own word.
+  /// The X-Waycove-Not-Run header: the target states that it did not run the
+  /// request.
   bool NotRun = false;
   bool Leaving = false;
   std::string RequestId;
-  /// All of the answer's header, by names without regard to case.
+  /// All header fields, with case-insensitive names.
   Poco::Net::NameValueCollection Header;
 };
 
-/// A client session that can tell a whole chunked body from a cut one, and a
-/// failure to connect from a later one; the library's own tells neither.
+/// A client session that detects truncated chunked bodies and separates
+/// failures to connect from later ones. POCO's own does neither.
 class WholeBodySession : public Poco::Net::HTTPClientSession {
 public:
   using HTTPClientSession::HTTPClientSession;
-  /// Connects, unless it is connected. Whatever fails before this returns has
-  /// sent nothing; whatever fails later may have.
+  /// Connects unless already connected. If this throws, nothing was sent.
   void open() {
     if (!this->connected())
       this->reconnect();
   }
-  /// Reads the chunks that follow a response's head. Throws where the last
-  /// chunk does not come.
+  /// Reads the chunks that follow a response's head. Throws if the last chunk
+  /// is missing.
   std::string readChunks();
 
 private:
   std::string readSizeLine();
 };
 
-/// A connection to one HTTP server that is kept open between calls. Calls are
-/// made one at a time. Thread-safe.
+/// A client of one HTTP server that keeps its connection open between calls and
+/// makes one call at a time. Thread-safe.
 class HttpClient {
 public:
   HttpClient(const Endpoint &Server, Millis ConnectTimeout, Metrics &Counters,
              ByteCounters Count);
 
-  /// Makes one call. Errors: NoCapacity where nothing was written, and
-  /// OutcomeUnknown where the request may have been read.
+  /// Makes one call. Errors: NoCapacity if nothing was sent, OutcomeUnknown if
+  /// the server may have received the request.
   absl::StatusOr<HttpReply> call(const HttpCall &Call, Millis Timeout);
   /// The next call opens a new connection.
   void renew();
@@ -88,12 +90,12 @@
   Millis ConnectTimeout;
   Metrics &Counters;
   ByteCounters Count;
-  bool Fresh = true;
+  bool IsNew = true;
   TimePoint LastUsed;
 };
 
 Poco::Timespan timespanOf(Millis Time);
-/// Bytes of a message's head, as sent.
+/// Length of a message's head as sent.
 template <typename Message> std::size_t headBytes(const Message &Head) {
   std::ostringstream Out;
   Head.write(Out);
--- a/tools/without.py
+++ b/tools/without.py
@@ -46,7 +46,7 @@
         "suspended machine"),
     "blame": (
         "src/entry/relay_policy.cpp",
-        "return Found == Verdict::Serve;", "return true;",
+        "return Current == Verdict::Serve;", "return true;",
         "crashing request"),
     "blame-explains": (
         "src/policy/crash_blame.cpp",
