--- a/src/control/config_follow.h
+++ b/src/control/config_follower.h
@@ -6,7 +6,7 @@
 
 #include "control/keyed_feed.h"
 #include "control/restore_wait.h"
-#include "control/serving.h"
+#include "control/serving_view.h"
 
 namespace waycove {
 
@@ -77,7 +77,7 @@
       return;
     this->Board.ConfigFresh.drop();
     this->Board.Routing.write([](RoutingConfigRef &Row) { Row.reset(); });
-    refreshServing(this->Board);
+    rebuildServingView(this->Board);
   }
 
   void noteProof() {
@@ -115,7 +115,7 @@
                              .add("routes", Config->routeCount())
                              .add("services", Config->Services.size())
                              .add("keys", Config->Keys.size()));
-    refreshServing(this->Board);
+    rebuildServingView(this->Board);
   }
 
   EntryBoard &Board;
--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -6,7 +6,7 @@
 
 #include "control/domain_views.h"
 #include "control/load_budget.h"
-#include "control/member_inquiry.h"
+#include "control/member_prober.h"
 #include "control/order_sender.h"
 
 namespace waycove {
@@ -19,14 +19,14 @@
 /// this node that another one owned, whose lease runs on by that node's clock;
 /// so nothing is ordered for the length of a lease. No lease of before outlives
 /// it: none could be renewed since the store went away.
-template <WorkShares Shares, GroupControl Control> class DomainOwner {
+template <PartitionService Shares, GroupControl Control> class DomainOwner {
 public:
   DomainOwner(EntryBoard &Board, Shares &Work, Control &Targets)
       : Board(Board), Work(Work), Members(Board, Targets),
         Orders(Board, Targets), Loads(Board) {}
 
   /// Renews the lease; how long to pause before the next time.
-  Millis renew() {
+  Millis renewLease() {
     if (this->Board.Stopping) {
       if (this->Joined.exchange(false))
         this->handBack("stopping");
@@ -40,7 +40,7 @@
     }
     Millis Time = std::max(LeaseTime, this->Board.Config.Entry->LeaseLeast);
     this->Board.Counters.Calls.add(StoreUse::Shares, this->causeOfJoin());
-    absl::StatusOr<WorkShare> Share =
+    absl::StatusOr<PartitionAssignment> Share =
         this->Work.join(this->generationHeard(), Time);
     if (!Share.ok()) {
       if (!this->Lost.exchange(true))
@@ -64,7 +64,8 @@
   /// Plans all owned domains once and gives the orders.
   void step() {
     TimePoint Now = SystemClock{}.now();
-    WorkShare Mine = this->Held.read([](const WorkShare &Row) { return Row; });
+    PartitionAssignment Mine =
+        this->Held.read([](const PartitionAssignment &Row) { return Row; });
     if (this->Board.Stopping || !this->mayOrder(Mine, Now)) {
       this->Lapsed = true;
       return;
@@ -79,11 +80,11 @@
     if (!Config)
       return;
     std::vector<GroupOrder> Next = this->planAll(*Config, Mine, Now);
-    std::vector<OrderEnd> Ends =
-        this->Orders.give(Next, Mine.fence(), this->Until);
+    std::vector<OrderOutcome> Ends =
+        this->Orders.send(Next, Mine.fence(), this->Until);
     for (std::size_t I = 0; I < Next.size(); ++I) {
       this->noteLeft(Next[I], Ends[I]);
-      this->noteUnreached(Next[I], Ends[I]);
+      this->markUnreachable(Next[I], Ends[I]);
     }
   }
 
@@ -124,7 +125,7 @@
     std::size_t Wanted =
         membersWanted(Given.Entry->WorkParts, centresOf(Nodes).size());
     bool Holds = this->Held.read(
-        [](const WorkShare &Row) { return !Row.Parts.empty(); });
+        [](const PartitionAssignment &Row) { return !Row.Partitions.empty(); });
     ShareRenewals Known = this->Board.Renewals.read(
         [](const ShareRenewals &Rows) { return Rows; });
     return this->Membership.decide(
@@ -135,13 +136,14 @@
   /// has given up what was dealt to others up to there, of which it heard
   /// nothing.
   std::uint64_t generationHeard() const {
-    WorkShare Mine = this->Held.read([](const WorkShare &Row) { return Row; });
+    PartitionAssignment Mine =
+        this->Held.read([](const PartitionAssignment &Row) { return Row; });
     return Mine.Era < this->Board.storeEra() ? 0 : Mine.Generation;
   }
 
   /// What is ordered follows from the registry, so that has to be of the era in
   /// which the domains were dealt.
-  bool mayOrder(const WorkShare &Mine, TimePoint Now) const {
+  bool mayOrder(const PartitionAssignment &Mine, TimePoint Now) const {
     StoreEra Listed = this->Board.Targets.read(
         [](const Fleet &Rows) { return Rows.Registry.Era; });
     return this->Until.holds(Now) && this->Board.RegistryFresh.holds(Now) &&
@@ -157,10 +159,11 @@
   }
 
   std::vector<GroupOrder> planAll(const RoutingConfig &Config,
-                                  const WorkShare &Mine, TimePoint Now) {
+                                  const PartitionAssignment &Mine,
+                                  TimePoint Now) {
     std::vector<GroupOrder> Orders;
     std::map<std::string, unsigned> Serving = servingGroups(this->Board);
-    this->Members.forgetFates(Now);
+    this->Members.expireStatuses(Now);
     std::map<DomainId, DomainView> Views =
         ownedDomains(this->Board, Config, Mine, Now);
     // What was planned under an earlier ownership is no longer known.
@@ -172,10 +175,10 @@
       View.EpochFloor = Mine.fence() << CounterBits;
       View.LoadsAllowed = this->Loads.allowed(View.LoadsAllowed, Engine, Now);
       View.LoadsSpare = this->Loads.allowed(View.LoadsSpare, Engine, Now);
-      View.Fates = this->Members.fates();
+      View.Fates = this->Members.statuses();
       View.Serving = Serving;
       View.Demand = this->demandOf(Engine);
-      this->Members.findLost(View);
+      this->Members.detectLost(View);
       Owned &Row = this->Planners.try_emplace(Domain, Now).first->second;
       if (Now - Row.Since < TakeoverWait || this->isUnread(Row.Since))
         continue;
@@ -187,9 +190,9 @@
           Millis(0), this->Board.Config.Entry->DrainBound - DrainMargin);
       std::vector<GroupOrder> Next = Row.Planner.step(View, Engine);
       for (const GroupOrder &Order : Next)
-        this->Loads.count(Order, Engine, Now);
+        this->Loads.recordOrder(Order, Engine, Now);
       Orders.insert(Orders.end(), Next.begin(), Next.end());
-      this->Members.askAfter(View, Row.Planner.askAfter());
+      this->Members.queryRemoved(View, Row.Planner.askAfter());
     }
     return Orders;
   }
@@ -231,9 +234,9 @@
 
   /// Tells the planner of a target that is no longer in its group. One that
   /// refuses to leave is in another group, or in none.
-  void noteLeft(const GroupOrder &Order, OrderEnd End) {
-    bool Left = End == OrderEnd::Taken || End == OrderEnd::Refused ||
-                End == OrderEnd::Ended;
+  void noteLeft(const GroupOrder &Order, OrderOutcome End) {
+    bool Left = End == OrderOutcome::Accepted || End == OrderOutcome::Refused ||
+                End == OrderOutcome::ProcessEnded;
     if (!Left || Order.Kind != OrderKind::Leave)
       return;
     if (auto At = this->Planners.find(Order.To->Domain);
@@ -245,40 +248,40 @@
   /// left out of the next group: the registry lists a dead VM for up to three
   /// heartbeats, and each group that is formed with one costs 1.5 s. An order
   /// that was held back here says nothing of its target.
-  void noteUnreached(const GroupOrder &Order, OrderEnd End) {
+  void markUnreachable(const GroupOrder &Order, OrderOutcome End) {
     TimePoint Now = SystemClock{}.now();
-    bool Silent = End == OrderEnd::NotSent || End == OrderEnd::Unknown;
+    bool Silent = End == OrderOutcome::NotSent || End == OrderOutcome::Unknown;
     bool Lost = Order.Kind == OrderKind::Join && Silent;
-    if ((Lost || End == OrderEnd::Ended) && this->Until.holds(Now))
-      this->Members.noteUnreached(Order.To->life(), Now);
+    if ((Lost || End == OrderOutcome::ProcessEnded) && this->Until.holds(Now))
+      this->Members.markUnreachable(Order.To->life(), Now);
   }
 
-  void take(const WorkShare &Share, Millis LeaseTime) {
-    WorkShare Before = this->Held.write(
-        [&](WorkShare &Row) { return std::exchange(Row, Share); });
+  void take(const PartitionAssignment &Share, Millis LeaseTime) {
+    PartitionAssignment Before = this->Held.write(
+        [&](PartitionAssignment &Row) { return std::exchange(Row, Share); });
     bool Knew = Before.fence() > 0;
     if (Knew && Share.Era > Before.Era)
       this->OthersMayOwn.renew(SystemClock{}.now(), LeaseTime);
-    bool Changed =
-        Before.fence() != Share.fence() || Before.Parts != Share.Parts;
+    bool Changed = Before.fence() != Share.fence() ||
+                   Before.Partitions != Share.Partitions;
     this->Board.Share =
-        static_cast<double>(Share.Parts.size()) /
+        static_cast<double>(Share.Partitions.size()) /
         static_cast<double>(this->Board.Config.Entry->WorkParts);
     if (!Changed)
       return;
-    std::string Parts;
-    for (std::uint64_t Part : Share.Parts)
-      Parts += (Parts.empty() ? "" : " ") + std::to_string(Part);
+    std::string Partitions;
+    for (std::uint64_t Part : Share.Partitions)
+      Partitions += (Partitions.empty() ? "" : " ") + std::to_string(Part);
     this->Board.Log.emit(EventCode::DomainsOwned, this->Board.Config.Node.Text,
                          LogFields()
                              .add("generation", Share.Generation)
                              .add("era", Share.Era.Value)
-                             .add("parts", Parts));
+                             .add("parts", Partitions));
   }
 
   void handBack(const std::string &Reason) {
     this->Until.drop();
-    this->Held.write([](WorkShare &Row) { Row.Parts.clear(); });
+    this->Held.write([](PartitionAssignment &Row) { Row.Partitions.clear(); });
     this->Work.leave();
     this->Board.Log.emit(EventCode::DomainsOwned, this->Board.Config.Node.Text,
                          LogFields().add("parts", "").add("reason", Reason));
@@ -300,7 +303,7 @@
   ShareMembership Membership;
   bool Listed = false;
   Lease Until;
-  Table<WorkShare, LockRank::Peers> Held;
+  Table<PartitionAssignment, LockRank::Peers> Held;
   std::atomic<bool> Joined{false};
   std::atomic<bool> Lost{false};
   Backoff Waits;
@@ -310,7 +313,7 @@
   /// Fence of the last step that planned.
   std::uint64_t PlannedAt = 0;
   bool Lapsed = false;
-  MemberInquiry<Control> Members;
+  MemberProber<Control> Members;
   OrderSender<Control> Orders;
   LoadBudget Loads;
 };
--- a/src/control/domain_views.cpp
+++ b/src/control/domain_views.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-bool owns(const EntryBoard &Board, const WorkShare &Mine,
+bool owns(const EntryBoard &Board, const PartitionAssignment &Mine,
           const DomainId &Domain) {
   std::uint64_t Part = hashText(Domain.Text) % Board.Config.Entry->WorkParts;
-  return std::find(Mine.Parts.begin(), Mine.Parts.end(), Part) !=
-         Mine.Parts.end();
+  return std::find(Mine.Partitions.begin(), Mine.Partitions.end(), Part) !=
+         Mine.Partitions.end();
 }
 
 void addTo(GroupCounts &Into, const GroupCounts &Counts) {
@@ -61,7 +61,7 @@
 
 std::map<DomainId, DomainView> ownedDomains(const EntryBoard &Board,
                                             const RoutingConfig &Config,
-                                            const WorkShare &Mine,
+                                            const PartitionAssignment &Mine,
                                             TimePoint Now) {
   std::map<DomainId, DomainView> Views;
   std::map<ServiceId, std::set<DomainId>> Domains;
--- a/src/control/domain_views.h
+++ b/src/control/domain_views.h
@@ -14,7 +14,7 @@
 /// each belongs to one of the parts into which the platform deals shared work.
 std::map<DomainId, DomainView> ownedDomains(const EntryBoard &Board,
                                             const RoutingConfig &Config,
-                                            const WorkShare &Mine,
+                                            const PartitionAssignment &Mine,
                                             TimePoint Now);
 
 /// Groups that serve, by model, over all domains.
--- a/src/control/feed_notes.h
+++ b/src/control/feed_page.h
@@ -10,8 +10,9 @@
 
 /// Takes a page of a feed that came from \p Source, the store or a neighbour,
 /// and logs where what this node knows goes on.
-inline void takePage(EntryBoard &Board, FeedKind Kind, const KeyedPage &Page,
-                     const std::string &Source, TimePoint Now) {
+inline void applyFeedPage(EntryBoard &Board, FeedKind Kind,
+                          const KeyedPage &Page, const std::string &Source,
+                          TimePoint Now) {
   FeedCache &Cache = Board.feed(Kind);
   std::optional<StorePosition> Known = Cache.next();
   StorePosition Before = Known.value_or(StorePosition());
--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -11,15 +11,15 @@
 namespace waycove {
 
 /// How a target took an order.
-enum class OrderEnd {
+enum class OrderOutcome {
   /// Begun, or it holds already.
-  Taken,
+  Accepted,
   /// It does not fit the target's state.
   Refused,
   /// The target has seen a newer owner's order.
   Fenced,
   /// Another process answers in the target's place: its life has ended.
-  Ended,
+  ProcessEnded,
   /// Nothing reached the target.
   NotSent,
   /// It may be carried out yet.
@@ -27,21 +27,21 @@
 };
 
 /// Whether a target can be reached from this node.
-enum class Reach {
-  Answers,
+enum class Reachability {
+  Reachable,
   /// Its process has ended: another one answers, also under its id.
-  Ended,
-  Silent,
+  ProcessEnded,
+  Unresponsive,
 };
 
-/// How orders and questions reach targets. ask() tells what became of a
-/// member whose entry went, reach() whether a listed one can be reached.
+/// How orders and questions reach targets. queryStatus() tells what became of a
+/// member whose entry went, probe() whether a listed one can be reached.
 template <typename C>
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
-  { Control.order(Order, Fence) } -> std::same_as<OrderEnd>;
-  { Control.ask(Target) } -> std::same_as<MemberFate>;
-  { Control.reach(Target) } -> std::same_as<Reach>;
+  { Control.order(Order, Fence) } -> std::same_as<OrderOutcome>;
+  { Control.queryStatus(Target) } -> std::same_as<MemberFate>;
+  { Control.probe(Target) } -> std::same_as<Reachability>;
 };
 
 } // namespace waycove
--- a/src/control/keyed_feed.h
+++ b/src/control/keyed_feed.h
@@ -57,12 +57,12 @@
 };
 
 /// What a node holds of work that the platform deals out.
-struct WorkShare {
+struct PartitionAssignment {
   /// Of the store that dealt it: generations go back with a restore, and are
   /// given out again.
   StoreEra Era;
   std::uint64_t Generation = 0;
-  std::vector<std::uint64_t> Parts;
+  std::vector<std::uint64_t> Partitions;
 
   /// What orders under this share are fenced with. It rises with each change of
   /// the shares, also over a restore: targets refuse an owner whose fence is
@@ -80,9 +80,11 @@
 /// Shared work. An owner holds its parts until the lease that it asked for
 /// ends, counted from when it sent the question.
 template <typename S>
-concept WorkShares = requires(S &Shares, std::uint64_t Generation,
-                              Millis Time) {
-  { Shares.join(Generation, Time) } -> std::same_as<absl::StatusOr<WorkShare>>;
+concept PartitionService = requires(S &Shares, std::uint64_t Generation,
+                                    Millis Time) {
+  {
+    Shares.join(Generation, Time)
+    } -> std::same_as<absl::StatusOr<PartitionAssignment>>;
   Shares.leave();
 };
 
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -35,7 +35,7 @@
   return std::min(Turns, static_cast<unsigned>(std::max(0.0, Most - Begun)));
 }
 
-void LoadBudget::count(const GroupOrder &Order, const EngineSpec &Engine,
+void LoadBudget::recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
                        TimePoint Now) {
   bool Loads =
       Order.Kind == OrderKind::Stage ||
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -20,7 +20,8 @@
   /// request of a first start.
   unsigned allowed(unsigned Turns, const EngineSpec &Engine, TimePoint Now);
   /// Counts the load that \p Order causes, if any.
-  void count(const GroupOrder &Order, const EngineSpec &Engine, TimePoint Now);
+  void recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
+                   TimePoint Now);
 
 private:
   bool isFree() const;
--- a/src/control/member_inquiry.h
+++ b/src/control/member_prober.h
@@ -16,28 +16,30 @@
 /// registry: those whose entries went, and those whose head stands still.
 /// Silence says something of a member only while others of its domain answer
 /// this node. Used by one thread.
-template <GroupControl Control> class MemberInquiry {
+template <GroupControl Control> class MemberProber {
 public:
-  MemberInquiry(EntryBoard &Board, Control &Targets)
+  MemberProber(EntryBoard &Board, Control &Targets)
       : Board(Board), Targets(Targets) {}
 
   /// What became of the members that were asked after.
-  const std::map<VmLife, MemberFate> &fates() const { return this->Fates; }
+  const std::map<VmLife, MemberFate> &statuses() const {
+    return this->Statuses;
+  }
 
   /// What was learned of members is of use only while it is new: one that was
   /// cut off may be back.
-  void forgetFates(TimePoint Now) {
+  void expireStatuses(TimePoint Now) {
     std::erase_if(this->Questions, [&](const auto &Entry) {
       return Now - Entry.second.At > FateMemory;
     });
-    std::erase_if(this->Fates, [&](const auto &Entry) {
+    std::erase_if(this->Statuses, [&](const auto &Entry) {
       return !this->Questions.contains(Entry.first);
     });
   }
 
   /// An order to join did not get through to \p Vm. It is taken for dead for a
   /// while, so that the group is formed of others at once.
-  void noteUnreached(const VmLife &Vm, TimePoint Now) {
+  void markUnreachable(const VmLife &Vm, TimePoint Now) {
     this->Silent[Vm] = {Now, SilentAsks};
   }
 
@@ -47,7 +49,7 @@
   /// that started again behind a cut from the registry refuses at once, so it
   /// never stands still. Whoever is used again is told to leave first, so a
   /// wrong guess costs a repair and breaks no promise.
-  void findLost(DomainView &View) {
+  void detectLost(DomainView &View) {
     std::erase_if(this->Silent, [&](const auto &Entry) {
       return View.Now - Entry.second.At > LostMemory;
     });
@@ -82,16 +84,16 @@
 
   /// Asks what became of members whose entries went. Silence says something
   /// only while another target of the domain answers this node.
-  void askAfter(const DomainView &View,
-                const std::vector<GoneTarget> &Members) {
+  void queryRemoved(const DomainView &View,
+                    const std::vector<GoneTarget> &Members) {
     for (const GoneTarget &Row : Members) {
       Asked &Entry = this->Questions[Row.Last->life()];
-      MemberFate &Known = this->Fates[Row.Last->life()];
+      MemberFate &Known = this->Statuses[Row.Last->life()];
       Millis Pause = Known == MemberFate::Unknown ? AskEvery : AskAgain;
       if (Entry.At != TimePoint() && View.Now - Entry.At < Pause)
         continue;
       Entry.At = View.Now;
-      MemberFate Fate = this->Targets.ask(*Row.Last);
+      MemberFate Fate = this->Targets.queryStatus(*Row.Last);
       if (Fate == MemberFate::Unknown && this->reachesAny(View))
         ++Entry.Silent;
       else
@@ -146,28 +148,29 @@
           (Entry.At == TimePoint() || Now - Entry.At >= AskEvery))
         Due.push_back(Row);
     }
-    std::vector<Reach> Ends(Due.size(), Reach::Answers);
+    std::vector<Reachability> Ends(Due.size(), Reachability::Reachable);
     {
       std::vector<std::jthread> Askers;
       for (std::size_t I = 0; I < Due.size(); ++I)
-        Askers.emplace_back([&, I] { Ends[I] = this->Targets.reach(*Due[I]); });
+        Askers.emplace_back([&, I] { Ends[I] = this->Targets.probe(*Due[I]); });
     }
     // Where nobody answers, it is this node that is cut off.
-    bool Any = std::any_of(Ends.begin(), Ends.end(),
-                           [](Reach End) { return End != Reach::Silent; });
+    bool Any = std::any_of(Ends.begin(), Ends.end(), [](Reachability End) {
+      return End != Reachability::Unresponsive;
+    });
     for (std::size_t I = 0; I < Due.size(); ++I) {
       Asked &Entry = this->Silent[Due[I]->life()];
       Entry.At = Now;
       if (!Any)
         continue;
-      Entry.Silent = Ends[I] == Reach::Answers ? 0
-                     : Ends[I] == Reach::Ended ? SilentAsks
-                                               : Entry.Silent + 1;
-      if (Ends[I] != Reach::Answers)
+      Entry.Silent = Ends[I] == Reachability::Reachable      ? 0
+                     : Ends[I] == Reachability::ProcessEnded ? SilentAsks
+                                                             : Entry.Silent + 1;
+      if (Ends[I] != Reachability::Reachable)
         this->Board.Log.emit(
             EventCode::DomainReleased, Due[I]->Id.Text,
             LogFields()
-                .add("reason", Ends[I] == Reach::Ended
+                .add("reason", Ends[I] == Reachability::ProcessEnded
                                    ? "another process answers in its place"
                                    : "does not answer while its head stands "
                                      "still")
@@ -179,14 +182,15 @@
   bool reachesAny(const DomainView &View) {
     std::size_t Tries = 0;
     for (const TargetRef &Row : View.Targets)
-      if (Tries++ < ControlAsks && this->Targets.reach(*Row) == Reach::Answers)
+      if (Tries++ < ControlAsks &&
+          this->Targets.probe(*Row) == Reachability::Reachable)
         return true;
     return false;
   }
 
   EntryBoard &Board;
   Control &Targets;
-  std::map<VmLife, MemberFate> Fates;
+  std::map<VmLife, MemberFate> Statuses;
   std::map<VmLife, Asked> Questions;
   std::map<VmLife, Asked> Silent;
 };
--- a/src/control/news.cpp
+++ b/src/control/news.cpp
@@ -4,7 +4,7 @@
 
 #include "control/news.h"
 
-#include "control/feed_notes.h"
+#include "control/feed_page.h"
 #include "control/news_server.h"
 #include "wire/news_frames.h"
 
@@ -56,7 +56,7 @@
       this->readAlone("no node reads for this one");
     this->askPeers(Nodes, SystemClock{}.now());
   }
-  this->Sight.publish(SystemClock{}.now());
+  this->Observations.publish(SystemClock{}.now());
   if (std::exchange(this->MoreWaits, false))
     return PartRound;
   return this->isBehind(SystemClock{}.now()) ? BehindRound : RoundTime;
@@ -258,14 +258,14 @@
   Question.data_centre = this->Board.Config.DataCentre.Text;
   bool Restored = false;
   for (const FeedState &Feed : this->Board.Feeds) {
-    StorePosition Next = Feed.Cache.next().value_or(NothingKnown);
+    StorePosition Next = Feed.Cache.next().value_or(UnknownPosition);
     Question.next.push_back(Next.At.Value);
     Question.restored.push_back(packMarks(Feed.Cache.marks()));
     Restored |= Next.Era > StoreEra();
   }
   if (!Restored)
     Question.restored.clear();
-  this->Sight.addTo(Question, Asked, SentAt);
+  this->Observations.addTo(Question, Asked, SentAt);
   return this->Links.ask(Asked, std::move(Question));
 }
 
@@ -300,14 +300,14 @@
     auto Kind = static_cast<FeedKind>(I);
     if (absl::StatusOr<KeyedPage> Page = readFeed(*News.feeds[I], SentAt, Now);
         Page.ok())
-      takePage(this->Board, Kind, *Page, From.Text, Now);
+      applyFeedPage(this->Board, Kind, *Page, From.Text, Now);
     else
       this->Board.Log.emit(EventCode::NewsRefused, From.Text,
                            LogFields()
                                .add("feed", feedName(Kind))
                                .add("reason", messageOf(Page.status())));
   }
-  this->Sight.take(News, From, SentAt, Now);
+  this->Observations.apply(News, From, SentAt, Now);
 }
 
 } // namespace waycove
--- a/src/control/news.h
+++ b/src/control/news.h
@@ -6,7 +6,7 @@
 
 #include "control/keyed_feed.h"
 #include "control/news_links.h"
-#include "control/shared_sight.h"
+#include "control/shared_observations.h"
 #include "policy/news_route.h"
 
 #include <array>
@@ -22,8 +22,8 @@
 /// by one thread.
 class NewsExchange {
 public:
-  NewsExchange(EntryBoard &Board, SharedSight &Sight)
-      : Board(Board), Sight(Sight), Links(Board) {}
+  NewsExchange(EntryBoard &Board, SharedObservations &Observations)
+      : Board(Board), Observations(Observations), Links(Board) {}
 
   /// One round of asking; how long to pause before the next.
   Millis step();
@@ -48,7 +48,7 @@
   bool isCurrent(const wire::NewsT &News) const;
 
   EntryBoard &Board;
-  SharedSight &Sight;
+  SharedObservations &Observations;
   NewsLinks Links;
   NewsRoute Route;
   /// When the node that reads for this one last told news.
--- a/src/control/news_server.cpp
+++ b/src/control/news_server.cpp
@@ -59,7 +59,7 @@
   const FeedCache &Cache = this->Board.feed(Kind);
   if (!Cache.next() || !this->Board.mayTell(Kind, Now))
     return std::make_unique<wire::FeedNewsT>();
-  bool Fills = From == NothingKnown;
+  bool Fills = From == UnknownPosition;
   KeyedPage Page = Fills ? Cache.whole() : Cache.since(From, MostPartBytes);
   std::size_t Most = Page.Whole ? MostFilledBytes : MostPassedBytes;
   std::lock_guard Lock(this->Mutex);
@@ -83,7 +83,7 @@
   wire::NewsT News;
   for (std::size_t I = 0; I < this->Board.Feeds.size(); ++I)
     News.feeds.push_back(this->answerFor(I, Question, Now));
-  this->Sight.exchange(Question, News, Now);
+  this->Observations.exchange(Question, News, Now);
   return News;
 }
 
--- a/src/control/news_server.h
+++ b/src/control/news_server.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/shared_sight.h"
+#include "control/shared_observations.h"
 #include "wire/frame.h"
 #include "wire/news_frames.h"
 
@@ -16,7 +16,7 @@
 namespace waycove {
 
 /// In a question, where a node knows nothing of a feed.
-constexpr StorePosition NothingKnown{
+constexpr StorePosition UnknownPosition{
     StoreEra(), Offset(std::numeric_limits<std::uint64_t>::max())};
 
 /// Answers other nodes that ask this one for news: what changed in each feed
@@ -24,8 +24,8 @@
 /// it (EntryBoard::mayTell).
 class NewsServer {
 public:
-  NewsServer(EntryBoard &Board, SharedSight &Sight)
-      : Board(Board), Sight(Sight) {}
+  NewsServer(EntryBoard &Board, SharedObservations &Observations)
+      : Board(Board), Observations(Observations) {}
   ~NewsServer();
   NewsServer(const NewsServer &) = delete;
   NewsServer &operator=(const NewsServer &) = delete;
@@ -43,7 +43,7 @@
                                           TimePoint Now);
 
   EntryBoard &Board;
-  SharedSight &Sight;
+  SharedObservations &Observations;
   std::mutex Mutex;
   /// By FeedKind; under Mutex.
   std::array<FeedPacker, static_cast<std::size_t>(FeedKind::Count)> Packers;
--- a/src/control/order_sender.h
+++ b/src/control/order_sender.h
@@ -21,9 +21,9 @@
   /// Gives orders to different targets at the same time, so that one that does
   /// not answer holds up none of the others, while \p Until holds. How each
   /// was taken.
-  std::vector<OrderEnd> give(const std::vector<GroupOrder> &Orders,
-                             std::uint64_t Fence, const Lease &Until) {
-    std::vector<OrderEnd> Ends(Orders.size(), OrderEnd::NotSent);
+  std::vector<OrderOutcome> send(const std::vector<GroupOrder> &Orders,
+                                 std::uint64_t Fence, const Lease &Until) {
+    std::vector<OrderOutcome> Ends(Orders.size(), OrderOutcome::NotSent);
     {
       std::vector<std::jthread> Senders;
       for (std::size_t I = 0; I < Orders.size(); ++I)
@@ -45,11 +45,11 @@
     return At != this->FencedAt.end() && At->second >= Fence;
   }
 
-  void noteEnd(const GroupOrder &Order, OrderEnd End, std::uint64_t Fence) {
+  void noteEnd(const GroupOrder &Order, OrderOutcome End, std::uint64_t Fence) {
     this->Board.Counters.add(Counter::OrdersSent);
-    if (End != OrderEnd::Taken)
+    if (End != OrderOutcome::Accepted)
       this->Board.Counters.add(Counter::OrdersFailed);
-    if (End == OrderEnd::Fenced)
+    if (End == OrderOutcome::Fenced)
       this->FencedAt[Order.To->life()] = Fence;
     this->Board.Log.emit(EventCode::DomainOrderEnded, Order.To->Id.Text,
                          LogFields()
--- a/src/control/registry_follow.h
+++ b/src/control/registry_follower.h
@@ -6,7 +6,7 @@
 
 #include "control/keyed_feed.h"
 #include "control/restored_entries.h"
-#include "control/serving.h"
+#include "control/serving_view.h"
 
 #include <map>
 #include <set>
@@ -125,7 +125,7 @@
       Into.Come.push_back(std::make_shared<const TargetInfo>(std::move(*Read)));
     }
     if (Page.Whole)
-      this->Restored.keepOnly(Into.Outdated);
+      this->Restored.retainOnly(Into.Outdated);
     if (this->BirthsTold)
       this->refuseUndated(Into);
     this->forgetRefused(Page, Into);
@@ -139,9 +139,9 @@
     this->Restored.release(Read.Id);
     if (!this->BeginsEra)
       return false;
-    std::optional<EntryDoubt> Doubt =
+    std::optional<StaleReason> Doubt =
         this->Board.Targets.read([&](const Fleet &Rows) {
-          return RestoredEntries::doubtOf(Read, Rows);
+          return RestoredEntries::staleReasonOf(Read, Rows);
         });
     if (!Doubt)
       return false;
@@ -149,9 +149,9 @@
                         Now);
     this->Board.Log.emit(EventCode::EntryHeld, Read.Id.Text,
                          LogFields()
-                             .add("reason", doubtName(*Doubt))
+                             .add("reason", staleReasonText(*Doubt))
                              .add("sequence", Read.Sequence)
-                             .add("for_ms", this->Restored.holdTime()));
+                             .add("for_ms", this->Restored.holdDuration()));
     return true;
   }
 
@@ -273,7 +273,7 @@
       for (const VmLife &Target : Regrouped)
         Rows.onRegrouped(Target);
     });
-    refreshServing(this->Board);
+    rebuildServingView(this->Board);
     // What a node finds at its start is the same in all nodes: the first of
     // each data centre tells of it, row by row. 918 lines cost the others 9 ms,
     // a tenth of a second on an eighth of a core, while callers wait.
--- a/src/control/restored_entries.cpp
+++ b/src/control/restored_entries.cpp
@@ -6,26 +6,26 @@
 
 namespace waycove {
 
-std::optional<EntryDoubt> RestoredEntries::doubtOf(const TargetInfo &Read,
-                                                   const Fleet &Known) {
+std::optional<StaleReason>
+RestoredEntries::staleReasonOf(const TargetInfo &Read, const Fleet &Known) {
   if (auto Gone = Known.Gone.find(Read.Id); Gone != Known.Gone.end())
     return Gone->second.Last->Born == Read.Born
-               ? std::optional(EntryDoubt::Gone)
+               ? std::optional(StaleReason::Gone)
                : std::nullopt;
   auto Listed = Known.Targets.find(Read.Id);
   if (Listed == Known.Targets.end() || Listed->second->Born != Read.Born)
     return std::nullopt;
   if (Listed->second->Draining && !Read.Draining)
-    return EntryDoubt::Leaving;
+    return StaleReason::Leaving;
   if (Read.Sequence < Listed->second->Sequence)
-    return EntryDoubt::Older;
+    return StaleReason::Older;
   return std::nullopt;
 }
 
-void RestoredEntries::hold(TargetRef Read, std::uint64_t Hash, EntryDoubt Doubt,
-                           TimePoint Now) {
+void RestoredEntries::hold(TargetRef Read, std::uint64_t Hash,
+                           StaleReason Doubt, TimePoint Now) {
   Row Held{std::move(Read), Hash, std::nullopt};
-  if (Doubt != EntryDoubt::Leaving)
+  if (Doubt != StaleReason::Leaving)
     Held.Until = Now + this->HoldTime;
   VmId Id = Held.Entry->Id;
   this->Rows.insert_or_assign(Id, std::move(Held));
@@ -36,7 +36,7 @@
   return At != this->Rows.end() && At->second.Hash == Hash;
 }
 
-void RestoredEntries::keepOnly(const std::set<VmId> &Listed) {
+void RestoredEntries::retainOnly(const std::set<VmId> &Listed) {
   std::erase_if(this->Rows, [&](const auto &Entry) {
     return !Listed.contains(Entry.first);
   });
--- a/src/control/restored_entries.h
+++ b/src/control/restored_entries.h
@@ -12,13 +12,13 @@
 namespace waycove {
 
 /// Why an entry that a restore of the store brought back is not used.
-enum class EntryDoubt { Gone, Leaving, Older };
+enum class StaleReason { Gone, Leaving, Older };
 
-constexpr std::string_view doubtName(EntryDoubt Doubt) {
+constexpr std::string_view staleReasonText(StaleReason Doubt) {
   switch (Doubt) {
-  case EntryDoubt::Gone:
+  case StaleReason::Gone:
     return "its target had gone";
-  case EntryDoubt::Leaving:
+  case StaleReason::Leaving:
     return "its target was leaving";
   default:
     return "its target has written since";
@@ -38,20 +38,20 @@
 
   /// What speaks against \p Read, which the store brought back, by \p Known;
   /// nothing where it may be used.
-  static std::optional<EntryDoubt> doubtOf(const TargetInfo &Read,
-                                           const Fleet &Known);
+  static std::optional<StaleReason> staleReasonOf(const TargetInfo &Read,
+                                                  const Fleet &Known);
   /// Leaves \p Read, whose value's hash is \p Hash, out of use.
-  void hold(TargetRef Read, std::uint64_t Hash, EntryDoubt Doubt,
+  void hold(TargetRef Read, std::uint64_t Hash, StaleReason Doubt,
             TimePoint Now);
   /// Whether the entry of \p Id is one that is held, and not a new one.
   bool holds(const VmId &Id, std::uint64_t Hash) const;
   /// Its target has written again, or it lapsed.
   void release(const VmId &Id) { this->Rows.erase(Id); }
   /// All that the registry lists is read: others than \p Listed have lapsed.
-  void keepOnly(const std::set<VmId> &Listed);
+  void retainOnly(const std::set<VmId> &Listed);
   /// Those that hold from now on: they are still in the registry.
   std::vector<TargetRef> takeDue(TimePoint Now);
-  Millis holdTime() const { return this->HoldTime; }
+  Millis holdDuration() const { return this->HoldTime; }
 
 private:
   struct Row {
--- a/src/control/serving.h
+++ b/src/control/serving_view.h
@@ -9,7 +9,7 @@
 namespace waycove {
 
 /// Builds the view of serving targets anew from the tables.
-inline void refreshServing(EntryBoard &Board) {
+inline void rebuildServingView(EntryBoard &Board) {
   RoutingConfigRef Config =
       Board.Routing.read([](const RoutingConfigRef &Row) { return Row; });
   if (!Config)
--- a/src/control/shared_sight.cpp
+++ b/src/control/shared_observations.cpp
@@ -2,14 +2,14 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "control/shared_sight.h"
+#include "control/shared_observations.h"
 
 #include "wire/news_frames.h"
 
 namespace waycove {
 
-void SharedSight::addTo(wire::NewsWantedT &Question, const NodeInfo &Asked,
-                        TimePoint Now) const {
+void SharedObservations::addTo(wire::NewsWantedT &Question,
+                               const NodeInfo &Asked, TimePoint Now) const {
   LoadRows Own = this->ownLoads(Now);
   DemandTable Asks = this->ownDemand();
   if (Asked.DataCentre == this->Board.Config.DataCentre)
@@ -23,8 +23,8 @@
   Question.crashes = packCrashes(this->crashes(Question.all_crashes, Now));
 }
 
-void SharedSight::exchange(const wire::NewsWantedT &Question,
-                           wire::NewsT &Answer, TimePoint Now) {
+void SharedObservations::exchange(const wire::NewsWantedT &Question,
+                                  wire::NewsT &Answer, TimePoint Now) {
   bool SameCentre = Question.data_centre == this->Board.Config.DataCentre.Text;
   if (SameCentre) {
     this->takeRenewals(Question.renewals, Now);
@@ -47,8 +47,8 @@
   Answer.demand = packDemand(this->Demand.downward(Asks, From, Now));
 }
 
-void SharedSight::take(const wire::NewsT &Answer, const NodeId &From,
-                       TimePoint SentAt, TimePoint Now) {
+void SharedObservations::apply(const wire::NewsT &Answer, const NodeId &From,
+                               TimePoint SentAt, TimePoint Now) {
   this->takeRenewals(Answer.renewals, SentAt);
   this->takeCrashes(Answer.crashes, Now);
   std::lock_guard Lock(this->Mutex);
@@ -61,16 +61,16 @@
   this->Demand.tell(readDemand(Answer.demand), Now);
 }
 
-LoadRows SharedSight::ownLoads(TimePoint Now) const {
+LoadRows SharedObservations::ownLoads(TimePoint Now) const {
   return this->Board.Vitals.read(
       [&](const VitalsTable &Rows) { return Rows.loads(Now); });
 }
 
-DemandTable SharedSight::ownDemand() const {
+DemandTable SharedObservations::ownDemand() const {
   return this->Board.Demand.read([](const DemandTable &Rows) { return Rows; });
 }
 
-void SharedSight::publish(TimePoint Now) {
+void SharedObservations::publish(TimePoint Now) {
   this->settleCrashes(Now);
   LoadRows Others;
   DemandTable Asked;
@@ -96,13 +96,13 @@
         LogFields().add("model", Row.Pool.Model).add("stay", Row.Stay));
 }
 
-CrashRows SharedSight::crashes(bool All, TimePoint Now) const {
+CrashRows SharedObservations::crashes(bool All, TimePoint Now) const {
   return this->Board.Crashes.read([&](const CrashBlame &Rows) {
     return All ? Rows.whole() : Rows.recent(Now);
   });
 }
 
-void SharedSight::takeCrashes(
+void SharedObservations::takeCrashes(
     const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows, TimePoint Now) {
   if (Rows.empty())
     return;
@@ -110,7 +110,7 @@
   this->Board.Crashes.write([&](CrashBlame &Into) { Into.take(Told, Now); });
 }
 
-void SharedSight::settleCrashes(TimePoint Now) {
+void SharedObservations::settleCrashes(TimePoint Now) {
   CrashBlame::Changes Found =
       this->Board.Vitals.read([&](const VitalsTable &Seen) {
         auto LastProgress = [&](const VmLife &Target) {
@@ -132,13 +132,14 @@
 }
 
 /// Members of this data centre, which no other one needs to know.
-std::vector<wire::RenewalRow> SharedSight::renewals(TimePoint Now) const {
+std::vector<wire::RenewalRow>
+SharedObservations::renewals(TimePoint Now) const {
   return this->Board.Renewals.read(
       [&](const ShareRenewals &Rows) { return packRenewals(Rows, Now); });
 }
 
-void SharedSight::takeRenewals(const std::vector<wire::RenewalRow> &Rows,
-                               TimePoint From) {
+void SharedObservations::takeRenewals(const std::vector<wire::RenewalRow> &Rows,
+                                      TimePoint From) {
   this->Board.Renewals.write(
       [&](ShareRenewals &Into) { waycove::takeRenewals(Rows, From, Into); });
 }
--- a/src/control/shared_sight.h
+++ b/src/control/shared_observations.h
@@ -16,9 +16,9 @@
 /// centre, who renewed its share of the common work. It goes along with
 /// questions and answers for news.
 /// Thread-safe.
-class SharedSight {
+class SharedObservations {
 public:
-  explicit SharedSight(EntryBoard &Board) : Board(Board) {}
+  explicit SharedObservations(EntryBoard &Board) : Board(Board) {}
 
   /// Adds what this node, and those that ask it, see, for \p Asked.
   void addTo(wire::NewsWantedT &Question, const NodeInfo &Asked,
@@ -27,8 +27,8 @@
   void exchange(const wire::NewsWantedT &Question, wire::NewsT &Answer,
                 TimePoint Now);
   /// Takes in the answer of \p From to a question that left at \p SentAt.
-  void take(const wire::NewsT &Answer, const NodeId &From, TimePoint SentAt,
-            TimePoint Now);
+  void apply(const wire::NewsT &Answer, const NodeId &From, TimePoint SentAt,
+             TimePoint Now);
   /// Puts what all others see on the board.
   void publish(TimePoint Now);
 
--- a/src/control/store_reader.h
+++ b/src/control/store_reader.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/feed_notes.h"
+#include "control/feed_page.h"
 #include "control/keyed_feed.h"
 
 #include <absl/status/statusor.h>
@@ -316,7 +316,7 @@
     bool Restored = Known && Page.Next.Era > Known->Era;
     if (Away || Restored)
       Page.HoldUntil = Now + FeedCache::LapseTime;
-    takePage(this->Board, this->Kind, Page, "store", Now);
+    applyFeedPage(this->Board, this->Kind, Page, "store", Now);
     this->Board.state(this->Kind).OwnProof.raise(Page.ProvenAt);
   }
 
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -5,12 +5,12 @@
 #pragma once
 
 #include "control/cached_feed.h"
-#include "control/config_follow.h"
+#include "control/config_follower.h"
 #include "control/domain_owner.h"
 #include "control/news.h"
 #include "control/news_server.h"
-#include "control/node_follow.h"
-#include "control/registry_follow.h"
+#include "control/node_follower.h"
+#include "control/registry_follower.h"
 #include "control/store_reader.h"
 #include "entry/caller_server.h"
 #include "entry/ready_server.h"
@@ -23,7 +23,7 @@
 template <typename P>
 concept EntryPlatform = CallerProtocol<typename P::Callers> &&
     StoreFeed<typename P::Feed> && NodeDirectory<typename P::Feed> &&
-    WorkShares<typename P::Shares> && GroupControl<typename P::Control> &&
+    PartitionService<typename P::Shares> && GroupControl<typename P::Control> &&
     requires(EntryBoard &Board) {
   { P::configFeed(Board) } -> std::same_as<typename P::Feed>;
   { P::registryFeed(Board) } -> std::same_as<typename P::Feed>;
@@ -47,8 +47,9 @@
         Directory(Platform::nodeFeed(this->Board)), Work(this->Board),
         Targets(this->Board), Routing(this->Board, this->ConfigFeed, {}),
         Registry(this->Board, this->RegistryFeed, {}),
-        Nodes(this->Board, this->NodeFeed, this->Directory), Sight(this->Board),
-        News(this->Board, this->Sight), NewsAnswers(this->Board, this->Sight),
+        Nodes(this->Board, this->NodeFeed, this->Directory),
+        Observations(this->Board), News(this->Board, this->Observations),
+        NewsAnswers(this->Board, this->Observations),
         Domains(this->Board, this->Work, this->Targets),
         Relayed(this->Board, this->Pool), Callers(this->Board, this->Relayed),
         Ready(
@@ -78,7 +79,7 @@
     });
     this->loop([this] { return this->Nodes.step(); });
     this->loop([this] { return this->News.step(); });
-    this->loop([this] { return this->Domains.renew(); });
+    this->loop([this] { return this->Domains.renewLease(); });
     this->loop([this] {
       this->Domains.step();
       return PlanEvery;
@@ -216,7 +217,7 @@
   ConfigFollower<CachedFeed, typename Platform::ConfigDecoder> Routing;
   RegistryFollower<CachedFeed, typename Platform::TargetDecoder> Registry;
   NodeFollower<CachedFeed, typename Platform::Feed> Nodes;
-  SharedSight Sight;
+  SharedObservations Observations;
   NewsExchange News;
   NewsServer NewsAnswers;
   DomainOwner<typename Platform::Shares, typename Platform::Control> Domains;
--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -74,18 +74,18 @@
   Target.Address = {"127.0.0.1", this->Run.vmPort("e-1")};
   Target.Born = WallMs(1);
   // It was listed as it started long ago; what answers has started since.
-  CHECK(Control.reach(Target) == Reach::Ended);
-  CHECK(Control.ask(Target) == MemberFate::Dead);
+  CHECK(Control.probe(Target) == Reachability::ProcessEnded);
+  CHECK(Control.queryStatus(Target) == MemberFate::Dead);
   Target.Born = WallMs();
-  CHECK(Control.reach(Target) == Reach::Answers);
+  CHECK(Control.probe(Target) == Reachability::Reachable);
   auto Other = std::make_shared<TargetInfo>(Target);
   Other->Id = VmId("another");
-  CHECK(Control.reach(*Other) == Reach::Ended);
+  CHECK(Control.probe(*Other) == Reachability::ProcessEnded);
   GroupOrder Order;
   Order.Kind = OrderKind::Leave;
   Order.To = Other;
   Order.Group = {"g", 1};
-  CHECK(Control.order(Order, 1) == OrderEnd::Ended);
+  CHECK(Control.order(Order, 1) == OrderOutcome::ProcessEnded);
 }
 
 } // namespace waycove::test
--- a/tests/unit/config_follow_test.cpp
+++ b/tests/unit/config_follower_test.cpp
@@ -7,7 +7,7 @@
 // stay, and what operators may have published since nobody can know from the
 // copy: it proves nothing of keys until they have written again.
 #include "control/cached_feed.h"
-#include "control/config_follow.h"
+#include "control/config_follower.h"
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
--- a/tests/unit/domain_convert_test.cpp
+++ b/tests/unit/domain_convert_test.cpp
@@ -69,7 +69,7 @@
     this->Config.Services[Spec.Id] = Spec;
     for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
          ++Part)
-      this->Mine.Parts.push_back(Part);
+      this->Mine.Partitions.push_back(Part);
     for (int I = 0; I < Domains * VmsPerDomain; ++I)
       this->addVm(I / VmsPerDomain);
     // Before callers come, loads are not bounded.
@@ -236,7 +236,7 @@
 
   EntryBoard Board;
   RoutingConfig Config;
-  WorkShare Mine;
+  PartitionAssignment Mine;
   std::map<DomainId, DomainPlanner> Planners;
   std::vector<WorldVm> Vms;
   std::deque<std::vector<TargetRef>> Shown;
--- a/tests/unit/domain_owner_test.cpp
+++ b/tests/unit/domain_owner_test.cpp
@@ -18,30 +18,30 @@
 
 /// Shared work of which this node is dealt everything.
 struct FakeShares {
-  absl::StatusOr<WorkShare> join(std::uint64_t Generation, Millis) {
+  absl::StatusOr<PartitionAssignment> join(std::uint64_t Generation, Millis) {
     this->Heard = Generation;
     return this->Dealt;
   }
   void leave() {}
 
-  WorkShare Dealt;
+  PartitionAssignment Dealt;
   std::uint64_t Heard = 0;
 };
 
 /// Targets that take every order; one of a smaller fence than they have seen
 /// is refused, as the platform's do.
 struct FakeControl {
-  OrderEnd order(const GroupOrder &Order, std::uint64_t Fence) {
+  OrderOutcome order(const GroupOrder &Order, std::uint64_t Fence) {
     std::lock_guard Lock(this->Mutex);
     if (Fence < this->Newest)
-      return OrderEnd::Fenced;
+      return OrderOutcome::Fenced;
     this->Newest = Fence;
     ++this->Taken;
     this->Epoch = std::max(this->Epoch, Order.Group.Epoch);
-    return OrderEnd::Taken;
+    return OrderOutcome::Accepted;
   }
-  MemberFate ask(const TargetInfo &) { return MemberFate::Unknown; }
-  Reach reach(const TargetInfo &) { return Reach::Answers; }
+  MemberFate queryStatus(const TargetInfo &) { return MemberFate::Unknown; }
+  Reachability probe(const TargetInfo &) { return Reachability::Reachable; }
 
   std::mutex Mutex;
   std::uint64_t Newest = 0;
@@ -76,7 +76,7 @@
       Rows[this->Board.Config.Node] = this->Board.self();
     });
     for (std::uint64_t Part = 0; Part < AllParts; ++Part)
-      this->Shares.Dealt.Parts.push_back(Part);
+      this->Shares.Dealt.Partitions.push_back(Part);
   }
   /// The registry, as of the store's era \p Era.
   void list(std::uint64_t Era) {
@@ -97,7 +97,7 @@
   void deal(std::uint64_t Era, std::uint64_t Generation) {
     this->Shares.Dealt.Era = StoreEra(Era);
     this->Shares.Dealt.Generation = Generation;
-    this->Owner.renew();
+    this->Owner.renewLease();
   }
   /// Renews the lease and plans for \p Time, or until targets took an order;
   /// whether they did. Meanwhile the registry is read, or \p NothingRead.
@@ -107,7 +107,7 @@
          SystemClock{}.now() < End && this->Targets.Taken == Before;) {
       if (!NothingRead)
         this->Board.RegistryProven.raise(SystemClock{}.now());
-      this->Owner.renew();
+      this->Owner.renewLease();
       this->Owner.step();
       std::this_thread::sleep_for(Millis(50));
     }
--- a/tests/unit/domain_views_test.cpp
+++ b/tests/unit/domain_views_test.cpp
@@ -26,7 +26,7 @@
     this->Config.Services[Spec.Id] = Spec;
     for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
          ++Part)
-      this->Mine.Parts.push_back(Part);
+      this->Mine.Partitions.push_back(Part);
   }
   static Settings entrySettings() {
     Settings Given;
@@ -63,7 +63,7 @@
   }
   EntryBoard Board;
   RoutingConfig Config;
-  WorkShare Mine;
+  PartitionAssignment Mine;
   int Vms = 0;
 };
 
--- a/tests/unit/load_budget_test.cpp
+++ b/tests/unit/load_budget_test.cpp
@@ -31,7 +31,7 @@
     GroupOrder Order;
     Order.Kind = OrderKind::Stage;
     Order.Model = "m";
-    this->Budget.count(Order, this->Engine, at(Ms));
+    this->Budget.recordOrder(Order, this->Engine, at(Ms));
   }
   EntryBoard Board;
   EngineSpec Engine;
--- a/tests/unit/member_inquiry_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -3,7 +3,7 @@
 // Version 2.0; see LICENSE.
 
 // What an owner of domains concludes of members that do not answer.
-#include "control/member_inquiry.h"
+#include "control/member_prober.h"
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
@@ -14,12 +14,15 @@
 
 /// Targets of which only those named answer.
 struct FakeControl {
-  OrderEnd order(const GroupOrder &, std::uint64_t) { return OrderEnd::Taken; }
-  MemberFate ask(const TargetInfo &) { return MemberFate::Unknown; }
-  Reach reach(const TargetInfo &Target) {
+  OrderOutcome order(const GroupOrder &, std::uint64_t) {
+    return OrderOutcome::Accepted;
+  }
+  MemberFate queryStatus(const TargetInfo &) { return MemberFate::Unknown; }
+  Reachability probe(const TargetInfo &Target) {
     if (this->Ended.contains(Target.Id))
-      return Reach::Ended;
-    return this->Silent.contains(Target.Id) ? Reach::Silent : Reach::Answers;
+      return Reachability::ProcessEnded;
+    return this->Silent.contains(Target.Id) ? Reachability::Unresponsive
+                                            : Reachability::Reachable;
   }
   std::set<VmId> Silent;
   /// In their place, another process answers.
@@ -50,7 +53,7 @@
   std::vector<std::string> joins(int Ms) {
     this->View.Now = at(Ms);
     this->View.Lost.clear();
-    this->Members.findLost(this->View);
+    this->Members.detectLost(this->View);
     std::vector<std::string> Ids;
     for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
       if (Row.Kind == OrderKind::Join)
@@ -60,7 +63,7 @@
 
   EntryBoard Board;
   FakeControl Control;
-  MemberInquiry<FakeControl> Members{this->Board, this->Control};
+  MemberProber<FakeControl> Members{this->Board, this->Control};
   EngineSpec Engine;
   DomainView View;
   DomainPlanner Planner;
@@ -72,7 +75,7 @@
                  "[unit]") {
   this->joins(0);
   REQUIRE(this->joins(800) == std::vector<std::string>{"a", "b"});
-  this->Members.noteUnreached({VmId("b"), {}}, at(900));
+  this->Members.markUnreachable({VmId("b"), {}}, at(900));
   // The order to the other one got through, and shows in the registry.
   auto Joined = std::make_shared<TargetInfo>(*this->View.Targets[0]);
   Joined->Group = Membership{
@@ -90,12 +93,12 @@
 TEST_CASE_METHOD(InquiryFixture,
                  "members: one was not reached once: it is used again later",
                  "[unit]") {
-  this->Members.noteUnreached({VmId("b"), {}}, at(0));
+  this->Members.markUnreachable({VmId("b"), {}}, at(0));
   this->joins(0);
   CHECK(this->joins(800) == std::vector<std::string>{"a", "c"});
   this->View.Now = at(8000);
   this->View.Lost.clear();
-  this->Members.findLost(this->View);
+  this->Members.detectLost(this->View);
   CHECK(this->View.Lost.empty());
 }
 
@@ -110,12 +113,12 @@
   this->View.Targets[0] = Head;
   this->View.Now = at(0);
   this->Control.Ended.insert(Head->Id);
-  this->Members.findLost(this->View);
+  this->Members.detectLost(this->View);
   REQUIRE(this->View.Lost.empty());
   this->Board.Vitals.write([&](VitalsTable &Rows) {
     Rows.suspect(Head->life(), at(0), Millis(3000));
   });
-  this->Members.findLost(this->View);
+  this->Members.detectLost(this->View);
   CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
   CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
 }
--- a/tests/unit/node_follow_test.cpp
+++ b/tests/unit/node_follower_test.cpp
@@ -3,7 +3,7 @@
 // Version 2.0; see LICENSE.
 
 // How a node follows the directory of nodes, and stays listed there.
-#include "control/node_follow.h"
+#include "control/node_follower.h"
 #include "support/cluster.h"
 #include "support/times.h"
 
--- a/tests/unit/registry_follow_test.cpp
+++ b/tests/unit/registry_follower_test.cpp
@@ -5,7 +5,7 @@
 // What a node makes of the registry's entries: lives under one id, entries
 // that name no target, and what hangs on the life that ended.
 #include "control/cached_feed.h"
-#include "control/registry_follow.h"
+#include "control/registry_follower.h"
 #include "platform/decode.h"
 #include "support/times.h"
 
--- a/tests/unit/store_reader_test.cpp
+++ b/tests/unit/store_reader_test.cpp
@@ -6,7 +6,7 @@
 // reads itself after all, what a call that hangs may hold up, and what an
 // answer proves.
 #include "control/cached_feed.h"
-#include "control/config_follow.h"
+#include "control/config_follower.h"
 #include "control/store_reader.h"
 #include "support/times.h"
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -33,7 +33,7 @@
         "!Board.ConfigFresh.holds(Now)", "false",
         "entry: the store is away"),
     "version-order": (
-        "src/control/config_follow.h",
+        "src/control/config_follower.h",
         "Row && Config->Version <= Row->Version", "false",
         "entry: a key is taken away"),
     "proof-age": (
@@ -57,7 +57,7 @@
         "WasServed || this->Served.contains(Content)", "false",
         "crash blame: answered before"),
     "blame-lasts": (
-        "src/control/node_follow.h",
+        "src/control/node_follower.h",
         "this->takeBlamed(Read->Blamed);", "",
         "directory: an announcement blames"),
     "shared-sight": (
@@ -69,7 +69,7 @@
         "RestingPart * MostOfAll * EvenShare", "1.0 * MostOfAll",
         "connections: many nodes"),
     "unreached-out": (
-        "src/control/member_inquiry.h",
+        "src/control/member_prober.h",
         "this->Silent[Vm] = {Now, SilentAsks};", "",
         "members: one is not reached"),
     "missing-staged": (
@@ -114,11 +114,11 @@
         "if (!Whole && Page->Next.Era > From->Era) {", "if (false) {",
         "store reader: the store came back"),
     "lost-proves-nothing": (
-        "src/control/config_follow.h",
+        "src/control/config_follower.h",
         "return Waited && !Page.Versions.isLost();", "return Waited;",
         "config: the store came back with an older"),
     "older-not-in-force": (
-        "src/control/config_follow.h",
+        "src/control/config_follower.h",
         "if (this->inForce() >= this->Least)", "if (true)",
         "config: a node that starts"),
     "strangers-wait": (
@@ -126,15 +126,15 @@
         "return Page.Versions.Settled || Page.ProvenAt >= this->Until;", "return true;",
         "store restored: all entries|config: the store came back with the version in force: "),
     "era-noted": (
-        "src/control/node_follow.h",
+        "src/control/node_follower.h",
         "for (const NodeInfo &Row : Come)\n      this->noteSettled(Row.Settled);", "",
         "directory: another node|store restored: written again"),
     "restored-held": (
-        "src/control/registry_follow.h",
+        "src/control/registry_follower.h",
         "if (this->isHeld(*Read, hashText(*Row.Value), Now)) {", "if (false) {",
         "registry restored|store restored: a target"),
     "restored-unplanned": (
-        "src/control/registry_follow.h",
+        "src/control/registry_follower.h",
         "if (Now >= this->SettledAt)", "if (true)",
         "registry restored: nothing is planned"),
     "second-connection": (
