--- a/src/control/cached_feed.h
+++ b/src/control/cached_feed.h
@@ -9,16 +9,16 @@
 
 namespace waycove {
 
-/// A feed as this node's cache has it, whoever filled that: the store's reader
-/// or a neighbour. Used by one thread.
+/// A feed as this node's cache holds it, whether filled from the store or by an
+/// upstream node. Used by one thread.
 class CachedFeed {
 public:
   explicit CachedFeed(FeedCache &Cache) : Cache(Cache) {}
 
-  /// Error NotFound: nothing is known yet; it waits a while for that.
+  /// Waits a while for a first page. Error NotFound: nothing is known yet.
   absl::StatusOr<KeyedPage> newest() {
     this->Cache.wait(StorePosition(), TimePoint(),
-                     SystemClock{}.now() + FirstWait);
+                     SystemClock{}.now() + InitialTimeout);
     if (!this->Cache.next())
       return makeError(ErrorKind::NotFound, "nothing is known yet");
     KeyedPage Page = this->Cache.whole();
@@ -26,7 +26,7 @@
     return Page;
   }
 
-  /// Waits for something new, or for a newer proof that there is nothing.
+  /// Waits for a change, or for a newer proof that there is none.
   absl::StatusOr<KeyedPage> follow(StorePosition From, Millis Wait) {
     this->Cache.wait(From, this->LastProof, SystemClock{}.now() + Wait);
     KeyedPage Page = this->Cache.since(From);
@@ -35,10 +35,10 @@
   }
 
 private:
-  static constexpr Millis FirstWait{1000};
+  static constexpr Millis InitialTimeout{1000};
 
   FeedCache &Cache;
-  /// Proof that came with the last page.
+  /// Time of the proof that came with the last page.
   TimePoint LastProof;
 };
 
--- a/src/control/config_follower.h
+++ b/src/control/config_follower.h
@@ -10,85 +10,85 @@
 
 namespace waycove {
 
-/// Follows the operators' routing configuration, brings each newer version in
-/// force, never an older one, and proves by each read that the one in force is
-/// current. \p Decode makes a configuration of a record's value.
+/// Follows the operators' routing configuration and applies each newer version,
+/// never an older one. Each successful read proves that the version in force is
+/// current. \p Decode parses a record's value.
 template <KeyedFeed Feed, typename Decoder> class ConfigFollower {
 public:
   ConfigFollower(EntryBoard &Board, Feed &Source, Decoder Decode)
       : Board(Board), Source(Source), Decode(std::move(Decode)),
-        Wait(Board.Config.Entry->RevokeBound) {}
+        Restore(Board.Config.Entry->RevokeBound) {}
 
-  /// Takes in what is new; waits for that a while.
+  /// Applies what is new; waits a while for it.
   void step() {
-    absl::StatusOr<KeyedPage> Page = this->Source.read(this->waitTime());
+    absl::StatusOr<KeyedPage> Page = this->Source.read(this->pollTimeout());
     if (Page.ok())
-      this->take(*Page);
-    this->noteProof();
+      this->applyPage(*Page);
+    this->updateProof();
   }
 
 private:
-  /// Part of the revocation bound after which it is looked whether the proof
-  /// has ended.
-  static constexpr double WaitPart = 0.1;
-  /// For the time between the last check and the target's reading.
+  /// Poll interval, as a part of the revocation bound, at which the proof is
+  /// checked for expiry.
+  static constexpr double PollPart = 0.1;
+  /// Covers the time from the last check until the target reads the request.
   static constexpr Millis ProofMargin{150};
 
-  Millis waitTime() const {
-    return EntryBoard::partOf(this->Board.Config.Entry->RevokeBound, WaitPart);
+  Millis pollTimeout() const {
+    return EntryBoard::partOf(this->Board.Config.Entry->RevokeBound, PollPart);
   }
 
-  void take(const KeyedPage &Page) {
-    this->noteLost(Page.Versions);
+  void applyPage(const KeyedPage &Page) {
+    this->updateLost(Page.Versions);
     for (const KeyedRecord &Row : Page.Records)
       if (Row.Key == Decoder::Key && Row.Value)
-        this->apply(*Row.Value);
-    bool Proves = this->Wait.isOver(Page, SystemClock{}.now());
+        this->applyConfig(*Row.Value);
+    bool Proves = this->Restore.isOver(Page, SystemClock{}.now());
     if (!Proves || this->inForce() == 0)
       return;
-    // Nodes that start and are shown the older version only must not go by it.
+    // Nodes that start and see only the older version must not use it.
     if (!Page.Versions.isLost())
       this->Board.feed(FeedKind::Config).settle(Page.Next.Era, Page.ProvenAt);
     this->Board.ConfigFresh.renew(
         Page.ProvenAt, this->Board.Config.Entry->RevokeBound - ProofMargin);
   }
 
-  /// Zero where no version is.
+  /// Version in force; zero if there is none.
   std::uint64_t inForce() const {
     return this->Board.Routing.read(
         [](const RoutingConfigRef &Row) { return Row ? Row->Version : 0; });
   }
 
-  /// A node that started after the store had lost the newest version found an
-  /// older one there: no version is in force then, and nothing is served, until
-  /// operators have written again.
-  void noteLost(const VersionMarks &Versions) {
-    bool Lost = Versions.isLost();
-    this->Least = Lost ? Versions.Before.Value : 0;
-    if (std::exchange(this->WasLost, Lost) != Lost)
-      this->Board.Log.emit(Lost ? EventCode::ConfigLost
-                                : EventCode::ConfigWrittenAgain,
+  /// Handles the loss of the newest version by a restore of the store. A node
+  /// that started since then found an older version: none is in force, and
+  /// nothing is served, until operators have written again.
+  void updateLost(const VersionMarks &Versions) {
+    bool IsLost = Versions.isLost();
+    this->MinVersion = IsLost ? Versions.Before.Value : 0;
+    if (std::exchange(this->WasLost, IsLost) != IsLost)
+      this->Board.Log.emit(IsLost ? EventCode::ConfigLost
+                                  : EventCode::ConfigWrittenAgain,
                            Decoder::Key,
                            LogFields()
                                .add("in_force", this->inForce())
                                .add("before", Versions.Before.Value)
                                .add("shown", Versions.Shown.Value));
-    if (this->inForce() >= this->Least)
+    if (this->inForce() >= this->MinVersion)
       return;
     this->Board.ConfigFresh.drop();
     this->Board.Routing.write([](RoutingConfigRef &Row) { Row.reset(); });
     rebuildServingView(this->Board);
   }
 
-  void noteProof() {
-    bool Proven = this->Board.ConfigFresh.holds(SystemClock{}.now());
-    if (std::exchange(this->WasProven, Proven) != Proven)
-      this->Board.Log.emit(Proven ? EventCode::ConfigProven
-                                  : EventCode::ConfigUnproven,
+  void updateProof() {
+    bool IsProven = this->Board.ConfigFresh.holds(SystemClock{}.now());
+    if (std::exchange(this->WasProven, IsProven) != IsProven)
+      this->Board.Log.emit(IsProven ? EventCode::ConfigProven
+                                    : EventCode::ConfigUnproven,
                            Decoder::Key);
   }
 
-  void apply(const std::string &Value) {
+  void applyConfig(const std::string &Value) {
     absl::StatusOr<RoutingConfig> Read = this->Decode(Value);
     if (!Read.ok()) {
       this->Board.Log.emit(EventCode::ConfigRefused, Decoder::Key,
@@ -97,15 +97,15 @@
     }
     auto Config = std::make_shared<const RoutingConfig>(std::move(*Read));
     std::uint64_t Before = 0;
-    bool Taken = this->Board.Routing.write([&](RoutingConfigRef &Row) {
+    bool Applied = this->Board.Routing.write([&](RoutingConfigRef &Row) {
       Before = Row ? Row->Version : 0;
-      if (Config->Version < this->Least ||
+      if (Config->Version < this->MinVersion ||
           (Row && Config->Version <= Row->Version))
         return false;
       Row = Config;
       return true;
     });
-    if (!Taken)
+    if (!Applied)
       return;
     this->Board.Counters.add(Counter::ConfigsApplied);
     this->Board.Log.emit(EventCode::ConfigApplied,
@@ -121,11 +121,11 @@
   EntryBoard &Board;
   FeedCursor<Feed> Source;
   Decoder Decode;
-  RestoreWait Wait;
+  RestoreWait Restore;
   bool WasProven = false;
   bool WasLost = false;
-  /// No older version comes in force: the store lost this one.
-  std::uint64_t Least = 0;
+  /// Versions below this one, which the store lost, are not applied.
+  std::uint64_t MinVersion = 0;
 };
 
 } // namespace waycove
--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -11,147 +11,149 @@
 
 namespace waycove {
 
-/// Owns some of the fabric domains, as the platform deals them out, and keeps
-/// their groups right. It orders only while its lease holds by its own clock;
-/// the fence of its share, below which a counter runs, fences what is late.
+/// Owns the fabric domains that the platform assigns to this node and plans
+/// their groups. Orders are sent only while the lease holds by the local clock.
+/// They carry the fence of the assignment, so that targets refuse late ones;
+/// epochs are the fence followed by a counter.
 ///
-/// Where the store comes back from an older copy, that may deal a domain to
-/// this node that another one owned, whose lease runs on by that node's clock;
-/// so nothing is ordered for the length of a lease. No lease of before outlives
-/// it: none could be renewed since the store went away.
-template <PartitionService Shares, GroupControl Control> class DomainOwner {
+/// A store restored from an older copy may assign a domain whose previous owner
+/// still holds its lease, so nothing is ordered for one lease duration after a
+/// restore.
+template <PartitionService Service, GroupControl Control> class DomainOwner {
 public:
-  DomainOwner(EntryBoard &Board, Shares &Work, Control &Targets)
-      : Board(Board), Work(Work), Members(Board, Targets),
-        Orders(Board, Targets), Loads(Board) {}
+  DomainOwner(EntryBoard &Board, Service &Partitioner, Control &Targets)
+      : Board(Board), Partitioner(Partitioner), Prober(Board, Targets),
+        Sender(Board, Targets), Budget(Board) {}
 
-  /// Renews the lease; how long to pause before the next time.
+  /// Renews the lease; returns the pause before the next renewal.
   Millis renewLease() {
     if (this->Board.Stopping) {
       if (this->Joined.exchange(false))
-        this->handBack("stopping");
-      return RenewEvery;
+        this->releaseAll("stopping");
+      return RenewInterval;
     }
     TimePoint SentAt = SystemClock{}.now();
-    if (!this->takesPart(SentAt)) {
+    if (!this->shouldParticipate(SentAt)) {
       if (this->Joined.exchange(false))
-        this->handBack("others take part");
-      return this->Listed ? RenewEvery : UnlistedLook;
+        this->releaseAll("enough other nodes participate");
+      return this->Listed ? RenewInterval : UnlistedPollInterval;
     }
-    Millis Time = std::max(LeaseTime, this->Board.Config.Entry->LeaseLeast);
-    this->Board.Counters.Calls.add(StoreUse::Shares, this->causeOfJoin());
-    absl::StatusOr<PartitionAssignment> Share =
-        this->Work.join(this->generationHeard(), Time);
-    if (!Share.ok()) {
-      if (!this->Lost.exchange(true))
+    Millis Duration =
+        std::max(LeaseDuration, this->Board.Config.Entry->LeaseLeast);
+    this->Board.Counters.Calls.add(StoreUse::Shares, this->joinCause());
+    absl::StatusOr<PartitionAssignment> Assignment =
+        this->Partitioner.join(this->knownGeneration(), Duration);
+    if (!Assignment.ok()) {
+      if (!this->Unreachable.exchange(true))
         this->Board.Log.emit(
             EventCode::LogUnreachable, "ownership",
-            LogFields().add("reason", messageOf(Share.status())));
-      return this->Waits.next();
+            LogFields().add("reason", messageOf(Assignment.status())));
+      return this->RetryBackoff.next();
     }
-    if (this->Lost.exchange(false))
+    if (this->Unreachable.exchange(false))
       this->Board.Log.emit(EventCode::LogReachable, "ownership");
-    this->Waits.reset();
+    this->RetryBackoff.reset();
     this->Joined = true;
     this->Board.Renewals.write([&](ShareRenewals &Rows) {
       Rows.note(memberHash(this->Board.Config.Node), SentAt);
     });
-    this->Until.renew(SentAt, Time - LeaseMargin);
-    this->take(*Share, Time);
-    return this->Board.Share > 0 ? RenewEvery : IdleRenewEvery;
+    this->OwnLease.renew(SentAt, Duration - LeaseMargin);
+    this->updateAssignment(*Assignment, Duration);
+    return this->Board.Share > 0 ? RenewInterval : IdleRenewInterval;
   }
 
-  /// Plans all owned domains once and gives the orders.
+  /// Plans all owned domains once and sends the resulting orders.
   void step() {
     TimePoint Now = SystemClock{}.now();
-    PartitionAssignment Mine =
-        this->Held.read([](const PartitionAssignment &Row) { return Row; });
-    if (this->Board.Stopping || !this->mayOrder(Mine, Now)) {
-      this->Lapsed = true;
+    PartitionAssignment Assignment =
+        this->Assigned.read([](const PartitionAssignment &Row) { return Row; });
+    if (this->Board.Stopping || !this->mayOrder(Assignment, Now)) {
+      this->LeaseLapsed = true;
       return;
     }
-    // While the lease was out, another may have owned and ordered. Where the
-    // shares are the same, nobody has.
-    if (std::exchange(this->Lapsed, false) && this->PlannedAt != Mine.fence())
+    // Another node may have owned the domains while the lease had lapsed, but
+    // only if the fence has changed.
+    if (std::exchange(this->LeaseLapsed, false) &&
+        this->PlannedFence != Assignment.fence())
       this->Planners.clear();
-    this->PlannedAt = Mine.fence();
+    this->PlannedFence = Assignment.fence();
     RoutingConfigRef Config = this->Board.Routing.read(
         [](const RoutingConfigRef &Row) { return Row; });
     if (!Config)
       return;
-    std::vector<GroupOrder> Next = this->planAll(*Config, Mine, Now);
-    std::vector<OrderOutcome> Ends =
-        this->Orders.send(Next, Mine.fence(), this->Until);
+    std::vector<GroupOrder> Next = this->planAll(*Config, Assignment, Now);
+    std::vector<OrderOutcome> Outcomes =
+        this->Sender.send(Next, Assignment.fence(), this->OwnLease);
     for (std::size_t I = 0; I < Next.size(); ++I) {
-      this->noteLeft(Next[I], Ends[I]);
-      this->markUnreachable(Next[I], Ends[I]);
+      this->onMemberLeft(Next[I], Outcomes[I]);
+      this->markUnreachable(Next[I], Outcomes[I]);
     }
   }
 
 private:
-  /// Below the fence, epochs count this many bits.
-  static constexpr unsigned CounterBits = 20;
-  /// A process cannot use so many epochs of a domain before the registry shows
-  /// one: a step plans a group for each few VMs, ten times a second.
+  /// Low bits of an epoch that hold the counter below the fence.
+  static constexpr unsigned EpochCounterBits = 20;
+  /// More epochs than a process can use before the registry shows one of them.
   static constexpr std::uint64_t UnseenEpochs = 1024;
-  /// How long domains stay without owner after one died.
-  static constexpr Millis LeaseTime{2000};
-  /// A renewal that is lost shows after 0.9 s; the next one comes in time.
-  static constexpr Millis RenewEvery{600};
-  /// The same for a node that owns none: it learns this much later that it is
-  /// dealt some.
-  static constexpr Millis IdleRenewEvery{900};
-  /// All nodes start within 0.3 s of each other, as the platform states, and
-  /// read what the others announced within 0.2 s.
+  /// Domains of a failed owner stay without one for at most this long.
+  static constexpr Millis LeaseDuration{2000};
+  /// Leaves time for a second attempt before the lease ends.
+  static constexpr Millis RenewInterval{600};
+  /// The same for a node to which nothing is assigned; bounds how late it
+  /// learns of an assignment.
+  static constexpr Millis IdleRenewInterval{900};
+  /// Nodes of a system that starts announce themselves, and see each other's
+  /// announcements, within this time.
   static constexpr Millis StartSpread{700};
-  /// Until the directory lists this node.
-  static constexpr Millis UnlistedLook{50};
-  /// A VM that says it leaves serves on for the bound on leaving targets. Its
-  /// saying is known here within 0.5 s, and its group is closed 0.2 s later.
+  /// Poll interval until the directory lists this node.
+  static constexpr Millis UnlistedPollInterval{50};
+  /// A leaving VM serves until the drain bound ends. This part of it is
+  /// reserved for learning that the VM leaves and for closing its group.
   static constexpr Millis DrainMargin{700};
-  /// An order is on its way for at most this time after the lease was checked.
+  /// Longest time between the check of the lease and an order's arrival.
   static constexpr Millis LeaseMargin{300};
 
-  /// Whether this node is one of those that take part in the shared work.
-  bool takesPart(TimePoint Now) {
-    // The directory fills while all nodes start at once.
-    if (this->Board.Config.Entry->FirstStart && Now - this->Began < StartSpread)
+  /// Whether this node is one of the members that partitions are assigned to.
+  bool shouldParticipate(TimePoint Now) {
+    // The directory is incomplete while all nodes start at once.
+    if (this->Board.Config.Entry->FirstStart &&
+        Now - this->StartTime < StartSpread)
       return false;
-    const Settings &Given = this->Board.Config;
+    const Settings &Config = this->Board.Config;
     NodeTable Nodes =
         this->Board.Nodes.read([](const NodeTable &Rows) { return Rows; });
-    this->Listed = Nodes.contains(Given.Node);
-    std::vector<NodeInfo> Order = readersOf(Nodes, Given.DataCentre);
-    std::size_t Wanted =
-        membersWanted(Given.Entry->WorkParts, centresOf(Nodes).size());
-    bool Holds = this->Held.read(
+    this->Listed = Nodes.contains(Config.Node);
+    std::vector<NodeInfo> Order = readersOf(Nodes, Config.DataCentre);
+    std::size_t MembersNeeded =
+        membersWanted(Config.Entry->WorkParts, centresOf(Nodes).size());
+    bool Holds = this->Assigned.read(
         [](const PartitionAssignment &Row) { return !Row.Partitions.empty(); });
     ShareRenewals Known = this->Board.Renewals.read(
         [](const ShareRenewals &Rows) { return Rows; });
     return this->Membership.decide(
-        {Order, Given.Node, Known, Wanted, Holds, Now});
+        {Order, Config.Node, Known, MembersNeeded, Holds, Now});
   }
 
-  /// To name one of an earlier era to the store would tell it that this node
-  /// has given up what was dealt to others up to there, of which it heard
-  /// nothing.
-  std::uint64_t generationHeard() const {
-    PartitionAssignment Mine =
-        this->Held.read([](const PartitionAssignment &Row) { return Row; });
-    return Mine.Era < this->Board.storeEra() ? 0 : Mine.Generation;
+  /// The generation to report to the store; zero if it is of an earlier era.
+  /// The store takes it as a confirmation that this node has released what was
+  /// assigned to others up to that generation.
+  std::uint64_t knownGeneration() const {
+    PartitionAssignment Assignment =
+        this->Assigned.read([](const PartitionAssignment &Row) { return Row; });
+    return Assignment.Era < this->Board.storeEra() ? 0 : Assignment.Generation;
   }
 
-  /// What is ordered follows from the registry, so that has to be of the era in
-  /// which the domains were dealt.
-  bool mayOrder(const PartitionAssignment &Mine, TimePoint Now) const {
+  /// Orders follow from the registry, so it has to be of the same era of the
+  /// store as the assignment.
+  bool mayOrder(const PartitionAssignment &Assignment, TimePoint Now) const {
     StoreEra Listed = this->Board.Targets.read(
         [](const Fleet &Rows) { return Rows.Registry.Era; });
-    return this->Until.holds(Now) && this->Board.RegistryFresh.holds(Now) &&
-           Mine.Era == Listed && !this->OthersMayOwn.holds(Now);
+    return this->OwnLease.holds(Now) && this->Board.RegistryFresh.holds(Now) &&
+           Assignment.Era == Listed && !this->OtherOwnersLease.holds(Now);
   }
 
-  CallCause causeOfJoin() const {
-    if (this->Lost)
+  CallCause joinCause() const {
+    if (this->Unreachable)
       return CallCause::Retry;
     if (!this->Joined)
       return CallCause::Start;
@@ -159,84 +161,87 @@
   }
 
   std::vector<GroupOrder> planAll(const RoutingConfig &Config,
-                                  const PartitionAssignment &Mine,
+                                  const PartitionAssignment &Assignment,
                                   TimePoint Now) {
     std::vector<GroupOrder> Orders;
     std::map<std::string, unsigned> Serving = servingGroups(this->Board);
-    this->Members.expireStatuses(Now);
+    this->Prober.expireStatuses(Now);
     std::map<DomainId, DomainView> Views =
-        ownedDomains(this->Board, Config, Mine, Now);
-    // What was planned under an earlier ownership is no longer known.
+        ownedDomains(this->Board, Config, Assignment, Now);
+    // Plans of an earlier ownership are dropped.
     std::erase_if(this->Planners, [&](const auto &Entry) {
       return !Views.contains(Entry.first);
     });
     for (auto &[Domain, View] : Views) {
       const EngineSpec &Engine = *Config.service(View.Service)->Engine;
-      View.EpochFloor = Mine.fence() << CounterBits;
-      View.LoadsAllowed = this->Loads.allowed(View.LoadsAllowed, Engine, Now);
-      View.LoadsSpare = this->Loads.allowed(View.LoadsSpare, Engine, Now);
-      View.Fates = this->Members.statuses();
+      View.EpochFloor = Assignment.fence() << EpochCounterBits;
+      View.LoadsAllowed = this->Budget.allowed(View.LoadsAllowed, Engine, Now);
+      View.LoadsSpare = this->Budget.allowed(View.LoadsSpare, Engine, Now);
+      View.Fates = this->Prober.statuses();
       View.Serving = Serving;
       View.Demand = this->demandOf(Engine);
-      this->Members.detectLost(View);
-      Owned &Row = this->Planners.try_emplace(Domain, Now).first->second;
-      if (Now - Row.Since < TakeoverWait || this->isUnread(Row.Since))
+      this->Prober.detectLost(View);
+      OwnedDomain &Owned =
+          this->Planners.try_emplace(Domain, Now).first->second;
+      if (Now - Owned.Since < TakeoverWait ||
+          this->isRegistryUnread(Owned.Since))
         continue;
-      if (!Row.Floor)
-        Row.Floor = firstFloor(View);
-      View.OwnedFloor = *Row.Floor;
+      if (!Owned.Floor)
+        Owned.Floor = firstFloor(View);
+      View.OwnedFloor = *Owned.Floor;
       View.EpochFloor = std::max(View.EpochFloor, View.OwnedFloor);
       View.DrainHold = std::max(
           Millis(0), this->Board.Config.Entry->DrainBound - DrainMargin);
-      std::vector<GroupOrder> Next = Row.Planner.step(View, Engine);
+      std::vector<GroupOrder> Next = Owned.Planner.step(View, Engine);
       for (const GroupOrder &Order : Next)
-        this->Loads.recordOrder(Order, Engine, Now);
+        this->Budget.recordOrder(Order, Engine, Now);
       Orders.insert(Orders.end(), Next.begin(), Next.end());
-      this->Members.queryRemoved(View, Row.Planner.askAfter());
+      this->Prober.queryRemoved(View, Owned.Planner.askAfter());
     }
     return Orders;
   }
 
-  /// Whether nothing of the registry was read since: where this machine stood
-  /// still, time passed and no news came.
-  bool isUnread(TimePoint Since) const {
+  /// Whether the registry was not read after \p Since. After a suspension of
+  /// this machine time has passed without any update.
+  bool isRegistryUnread(TimePoint Since) const {
     return this->Board.RegistryProven.get() < Since;
   }
 
-  /// What all nodes counted, or this one alone where no others tell.
+  /// Demand counted by all nodes, or extrapolated from this one if no other
+  /// node reports any.
   DemandTable demandOf(const EngineSpec &Engine) const {
     auto Copy = [](const DemandTable &Rows) { return Rows; };
     DemandTable Counted = this->Board.Demand.read(Copy);
     DemandTable Others = this->Board.DemandElsewhere.read(Copy);
-    for (const auto &[Model, Row] : Others)
-      Counted[Model].add(Row);
+    for (const auto &[Model, Added] : Others)
+      Counted[Model].add(Added);
     return demandRates(Engine, Counted,
                        Others.empty() ? this->Board.evenShare() : 1);
   }
 
-  /// Above each epoch that was used before this ownership began, as far as the
-  /// domain's VMs tell, and above what an earlier life of this process may have
-  /// used unseen: restarted within its lease, it keeps its domains and their
-  /// generation, so that no domain changes hands. Where each restart dealt them
-  /// anew, groups were formed twice, 3 s later than needed.
+  /// First epoch of this ownership: above every epoch that the domain's VMs
+  /// show, and above those that an earlier incarnation of this process may have
+  /// used unseen. A process that restarts within its lease keeps its domains
+  /// and the generation, so the fence alone does not separate the two.
   static std::uint64_t firstFloor(const DomainView &View) {
     std::uint64_t Seen = 0;
-    auto Note = [&](const TargetInfo &Row) {
-      if (Row.Group)
-        Seen = std::max(Seen, Row.Group->Group.Epoch);
+    auto Note = [&](const TargetInfo &Target) {
+      if (Target.Group)
+        Seen = std::max(Seen, Target.Group->Group.Epoch);
     };
-    for (const TargetRef &Row : View.Targets)
-      Note(*Row);
-    for (const GoneTarget &Row : View.Gone)
-      Note(*Row.Last);
+    for (const TargetRef &Target : View.Targets)
+      Note(*Target);
+    for (const GoneTarget &Target : View.Gone)
+      Note(*Target.Last);
     return Seen < View.EpochFloor ? View.EpochFloor : Seen + UnseenEpochs;
   }
 
-  /// Tells the planner of a target that is no longer in its group. One that
-  /// refuses to leave is in another group, or in none.
-  void noteLeft(const GroupOrder &Order, OrderOutcome End) {
-    bool Left = End == OrderOutcome::Accepted || End == OrderOutcome::Refused ||
-                End == OrderOutcome::ProcessEnded;
+  /// Tells the planner that a target has left its group. A target that refuses
+  /// to leave is in another group or in none.
+  void onMemberLeft(const GroupOrder &Order, OrderOutcome Outcome) {
+    bool Left = Outcome == OrderOutcome::Accepted ||
+                Outcome == OrderOutcome::Refused ||
+                Outcome == OrderOutcome::ProcessEnded;
     if (!Left || Order.Kind != OrderKind::Leave)
       return;
     if (auto At = this->Planners.find(Order.To->Domain);
@@ -244,78 +249,80 @@
       At->second.Planner.onLeft(Order);
   }
 
-  /// Whoever does not take an order to join, or whose process has ended, is
-  /// left out of the next group: the registry lists a dead VM for up to three
-  /// heartbeats, and each group that is formed with one costs 1.5 s. An order
-  /// that was held back here says nothing of its target.
-  void markUnreachable(const GroupOrder &Order, OrderOutcome End) {
+  /// Excludes a target from the next group if an order to join did not reach it
+  /// or its process has ended; the registry lists a dead VM for up to three
+  /// heartbeats. An order that this node held back says nothing of its target.
+  void markUnreachable(const GroupOrder &Order, OrderOutcome Outcome) {
     TimePoint Now = SystemClock{}.now();
-    bool Silent = End == OrderOutcome::NotSent || End == OrderOutcome::Unknown;
-    bool Lost = Order.Kind == OrderKind::Join && Silent;
-    if ((Lost || End == OrderOutcome::ProcessEnded) && this->Until.holds(Now))
-      this->Members.markUnreachable(Order.To->life(), Now);
+    bool Unconfirmed =
+        Outcome == OrderOutcome::NotSent || Outcome == OrderOutcome::Unknown;
+    bool NotDelivered = Order.Kind == OrderKind::Join && Unconfirmed;
+    if ((NotDelivered || Outcome == OrderOutcome::ProcessEnded) &&
+        this->OwnLease.holds(Now))
+      this->Prober.markUnreachable(Order.To->life(), Now);
   }
 
-  void take(const PartitionAssignment &Share, Millis LeaseTime) {
-    PartitionAssignment Before = this->Held.write(
-        [&](PartitionAssignment &Row) { return std::exchange(Row, Share); });
+  void updateAssignment(const PartitionAssignment &Next, Millis Duration) {
+    PartitionAssignment Before = this->Assigned.write(
+        [&](PartitionAssignment &Row) { return std::exchange(Row, Next); });
     bool Knew = Before.fence() > 0;
-    if (Knew && Share.Era > Before.Era)
-      this->OthersMayOwn.renew(SystemClock{}.now(), LeaseTime);
-    bool Changed = Before.fence() != Share.fence() ||
-                   Before.Partitions != Share.Partitions;
+    if (Knew && Next.Era > Before.Era)
+      this->OtherOwnersLease.renew(SystemClock{}.now(), Duration);
+    bool Changed =
+        Before.fence() != Next.fence() || Before.Partitions != Next.Partitions;
     this->Board.Share =
-        static_cast<double>(Share.Partitions.size()) /
+        static_cast<double>(Next.Partitions.size()) /
         static_cast<double>(this->Board.Config.Entry->WorkParts);
     if (!Changed)
       return;
     std::string Partitions;
-    for (std::uint64_t Part : Share.Partitions)
+    for (std::uint64_t Part : Next.Partitions)
       Partitions += (Partitions.empty() ? "" : " ") + std::to_string(Part);
     this->Board.Log.emit(EventCode::DomainsOwned, this->Board.Config.Node.Text,
                          LogFields()
-                             .add("generation", Share.Generation)
-                             .add("era", Share.Era.Value)
+                             .add("generation", Next.Generation)
+                             .add("era", Next.Era.Value)
                              .add("parts", Partitions));
   }
 
-  void handBack(const std::string &Reason) {
-    this->Until.drop();
-    this->Held.write([](PartitionAssignment &Row) { Row.Partitions.clear(); });
-    this->Work.leave();
+  void releaseAll(const std::string &Reason) {
+    this->OwnLease.drop();
+    this->Assigned.write(
+        [](PartitionAssignment &Row) { Row.Partitions.clear(); });
+    this->Partitioner.leave();
     this->Board.Log.emit(EventCode::DomainsOwned, this->Board.Config.Node.Text,
                          LogFields().add("parts", "").add("reason", Reason));
   }
 
-  /// A domain's planner, from when its ownership began.
-  struct Owned {
-    explicit Owned(TimePoint Since) : Since(Since) {}
+  /// A domain's planner and the time since which this node owns the domain.
+  struct OwnedDomain {
+    explicit OwnedDomain(TimePoint Since) : Since(Since) {}
     TimePoint Since;
-    /// Groups with epochs up to this were formed before; known when the first
-    /// step is planned.
+    /// Groups of an earlier ownership have epochs up to this one; set when the
+    /// first step is planned.
     std::optional<std::uint64_t> Floor;
     DomainPlanner Planner;
   };
 
   EntryBoard &Board;
-  Shares &Work;
-  const TimePoint Began = SystemClock{}.now();
+  Service &Partitioner;
+  const TimePoint StartTime = SystemClock{}.now();
   ShareMembership Membership;
   bool Listed = false;
-  Lease Until;
-  Table<PartitionAssignment, LockRank::Peers> Held;
+  Lease OwnLease;
+  Table<PartitionAssignment, LockRank::Peers> Assigned;
   std::atomic<bool> Joined{false};
-  std::atomic<bool> Lost{false};
-  Backoff Waits;
-  std::map<DomainId, Owned> Planners;
-  /// After a restore, while a lease that the store knows nothing of may run.
-  Lease OthersMayOwn;
-  /// Fence of the last step that planned.
-  std::uint64_t PlannedAt = 0;
-  bool Lapsed = false;
-  MemberProber<Control> Members;
-  OrderSender<Control> Orders;
-  LoadBudget Loads;
+  std::atomic<bool> Unreachable{false};
+  Backoff RetryBackoff;
+  std::map<DomainId, OwnedDomain> Planners;
+  /// Holds after a restore while a lease unknown to the store may be in force.
+  Lease OtherOwnersLease;
+  /// Fence under which the last step planned.
+  std::uint64_t PlannedFence = 0;
+  bool LeaseLapsed = false;
+  MemberProber<Control> Prober;
+  OrderSender<Control> Sender;
+  LoadBudget Budget;
 };
 
 } // namespace waycove
--- a/src/control/domain_views.cpp
+++ b/src/control/domain_views.cpp
@@ -15,91 +15,91 @@
 
 namespace {
 
-bool owns(const EntryBoard &Board, const PartitionAssignment &Mine,
+bool owns(const EntryBoard &Board, const PartitionAssignment &Assignment,
           const DomainId &Domain) {
-  std::uint64_t Part = hashText(Domain.Text) % Board.Config.Entry->WorkParts;
-  return std::find(Mine.Partitions.begin(), Mine.Partitions.end(), Part) !=
-         Mine.Partitions.end();
+  std::uint64_t Partition =
+      hashText(Domain.Text) % Board.Config.Entry->WorkParts;
+  return std::find(Assignment.Partitions.begin(), Assignment.Partitions.end(),
+                   Partition) != Assignment.Partitions.end();
 }
 
-void addTo(GroupCounts &Into, const GroupCounts &Counts) {
+void addTo(GroupCounts &Sum, const GroupCounts &Counts) {
   for (const auto &[Model, Count] : Counts)
-    Into[Model] += Count;
+    Sum[Model] += Count;
 }
 
-/// Tells \p View of the groups of all other domains of its service.
+/// Fills in what \p View holds of the other domains of its service.
 void countElsewhere(const std::map<DomainId, DomainOutlook> &Outlooks,
                     DomainView &View) {
   std::set<DataCentreId> Centres;
-  // By model, the most groups of one domain, and which that is.
-  std::map<std::string, std::pair<double, DomainId>> Most;
-  // A domain of which no VM is listed any more has no outlook.
+  // By model, the domain with the most groups and their number.
+  std::map<std::string, std::pair<double, DomainId>> LargestByModel;
+  // A domain without any listed VM has no forecast.
   auto Own = Outlooks.find(View.Domain);
   DataCentreId Here =
       Own == Outlooks.end() ? DataCentreId() : Own->second.Centre;
-  for (const auto &[Domain, Row] : Outlooks) {
-    Centres.insert(Row.Centre);
-    View.AnyCloses |= Row.Closes;
-    for (const auto &[Model, Count] : Row.Serving)
-      if (auto &Best = Most[Model]; Count > Best.first)
-        Best = {Count, Domain};
+  for (const auto &[Domain, Outlook] : Outlooks) {
+    Centres.insert(Outlook.Centre);
+    View.AnyCloses |= Outlook.Closes;
+    for (const auto &[Model, Count] : Outlook.Serving)
+      if (auto &Largest = LargestByModel[Model]; Count > Largest.first)
+        Largest = {Count, Domain};
     if (Domain == View.Domain)
       continue;
-    addTo(View.Elsewhere, Row.Groups);
-    if (Row.Centre == Here)
-      addTo(View.ElsewhereInCentre, Row.Groups);
+    addTo(View.Elsewhere, Outlook.Groups);
+    if (Outlook.Centre == Here)
+      addTo(View.ElsewhereInCentre, Outlook.Groups);
     if (Domain < View.Domain)
-      addTo(View.TradesBefore, Row.Trade);
+      addTo(View.TradesBefore, Outlook.Trade);
   }
   View.Centres = Centres.size();
-  for (const auto &[Model, Best] : Most)
-    if (Best.second == View.Domain)
+  for (const auto &[Model, Largest] : LargestByModel)
+    if (Largest.second == View.Domain)
       View.MayGiveUp.insert(Model);
 }
 
 } // namespace
 
-std::map<DomainId, DomainView> ownedDomains(const EntryBoard &Board,
-                                            const RoutingConfig &Config,
-                                            const PartitionAssignment &Mine,
-                                            TimePoint Now) {
+std::map<DomainId, DomainView>
+ownedDomains(const EntryBoard &Board, const RoutingConfig &Config,
+             const PartitionAssignment &Assignment, TimePoint Now) {
   std::map<DomainId, DomainView> Views;
   std::map<ServiceId, std::set<DomainId>> Domains;
   std::map<ServiceId, std::vector<TargetRef>> All;
-  auto Wanted = [&](const TargetInfo &Row) {
-    const ServiceSpec *Spec = Config.service(Row.Service);
-    if (!Spec || !Spec->hasGroups() || Row.Domain.empty())
+  auto IsOwned = [&](const TargetInfo &Target) {
+    const ServiceSpec *Spec = Config.service(Target.Service);
+    if (!Spec || !Spec->hasGroups() || Target.Domain.empty())
       return false;
-    Domains[Row.Service].insert(Row.Domain);
-    return owns(Board, Mine, Row.Domain);
+    Domains[Target.Service].insert(Target.Domain);
+    return owns(Board, Assignment, Target.Domain);
   };
-  auto ViewOf = [&](const TargetInfo &Row) -> DomainView & {
-    DomainView &View = Views[Row.Domain];
-    View.Domain = Row.Domain;
-    View.Service = Row.Service;
+  auto ViewOf = [&](const TargetInfo &Target) -> DomainView & {
+    DomainView &View = Views[Target.Domain];
+    View.Domain = Target.Domain;
+    View.Service = Target.Service;
     View.Now = Now;
     return View;
   };
   Board.Targets.read([&](const Fleet &Rows) {
-    for (const auto &[Id, Row] : Rows.Targets) {
-      All[Row->Service].push_back(Row);
-      if (Wanted(*Row))
-        ViewOf(*Row).Targets.push_back(Row);
+    for (const auto &[Id, Target] : Rows.Targets) {
+      All[Target->Service].push_back(Target);
+      if (IsOwned(*Target))
+        ViewOf(*Target).Targets.push_back(Target);
     }
-    for (const auto &[Id, Row] : Rows.Gone)
-      if (Wanted(*Row.Last))
-        ViewOf(*Row.Last).Gone.push_back(Row);
+    for (const auto &[Id, Target] : Rows.Gone)
+      if (IsOwned(*Target.Last))
+        ViewOf(*Target.Last).Gone.push_back(Target);
   });
-  std::map<ServiceId, LoadTurns> Turns;
+  std::map<ServiceId, LoadTurns> Schedules;
   std::map<ServiceId, std::map<DomainId, DomainOutlook>> Outlooks;
   for (auto &[Domain, View] : Views) {
     const std::set<DomainId> &Order = Domains[View.Service];
     View.Turn = static_cast<std::size_t>(
         std::distance(Order.begin(), Order.find(Domain)));
     const EngineSpec &Engine = *Config.service(View.Service)->Engine;
-    auto At = Turns.find(View.Service);
-    if (At == Turns.end()) {
-      At = Turns.emplace(View.Service, loadTurns(All[View.Service], Engine))
+    auto At = Schedules.find(View.Service);
+    if (At == Schedules.end()) {
+      At = Schedules.emplace(View.Service, loadTurns(All[View.Service], Engine))
                .first;
       Outlooks[View.Service] = domainOutlooks(All[View.Service], Engine);
     }
@@ -116,10 +116,10 @@
   std::map<std::string, unsigned> Counts;
   ServingViewRef View =
       Board.Serving.read([](const ServingViewRef &Row) { return Row; });
-  for (const auto &[Service, Rows] : View->ByService)
-    for (const Serving &Row : Rows)
-      if (!Row.Model.empty())
-        ++Counts[Row.Model];
+  for (const auto &[Service, Targets] : View->ByService)
+    for (const Serving &Target : Targets)
+      if (!Target.Model.empty())
+        ++Counts[Target.Model];
   return Counts;
 }
 
--- a/src/control/domain_views.h
+++ b/src/control/domain_views.h
@@ -10,14 +10,13 @@
 
 namespace waycove {
 
-/// The domains that \p Mine gives to this node, as the registry shows them:
-/// each belongs to one of the parts into which the platform deals shared work.
-std::map<DomainId, DomainView> ownedDomains(const EntryBoard &Board,
-                                            const RoutingConfig &Config,
-                                            const PartitionAssignment &Mine,
-                                            TimePoint Now);
+/// Views of the domains that \p Assignment gives to this node, built from the
+/// registry. Each domain belongs to one partition by the hash of its name.
+std::map<DomainId, DomainView>
+ownedDomains(const EntryBoard &Board, const RoutingConfig &Config,
+             const PartitionAssignment &Assignment, TimePoint Now);
 
-/// Groups that serve, by model, over all domains.
+/// Number of serving groups by model, over all domains.
 std::map<std::string, unsigned> servingGroups(const EntryBoard &Board);
 
 } // namespace waycove
--- a/src/control/feed_page.h
+++ b/src/control/feed_page.h
@@ -8,8 +8,8 @@
 
 namespace waycove {
 
-/// Takes a page of a feed that came from \p Source, the store or a neighbour,
-/// and logs where what this node knows goes on.
+/// Applies a page of a feed from \p Source, the store or another node, to the
+/// cache and logs how far the feed is known.
 inline void applyFeedPage(EntryBoard &Board, FeedKind Kind,
                           const KeyedPage &Page, const std::string &Source,
                           TimePoint Now) {
--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -10,32 +10,34 @@
 
 namespace waycove {
 
-/// How a target took an order.
+/// Outcome of an order sent to a target.
 enum class OrderOutcome {
-  /// Begun, or it holds already.
+  /// Started, or already in effect.
   Accepted,
-  /// It does not fit the target's state.
+  /// Refused: it does not fit the target's state.
   Refused,
-  /// The target has seen a newer owner's order.
+  /// Refused: the target has seen a newer owner's order.
   Fenced,
-  /// Another process answers in the target's place: its life has ended.
+  /// Another process responds at the target's address: the incarnation has
+  /// ended.
   ProcessEnded,
-  /// Nothing reached the target.
+  /// The order did not reach the target.
   NotSent,
-  /// It may be carried out yet.
+  /// No response: it may or may not be carried out.
   Unknown,
 };
 
 /// Whether a target can be reached from this node.
 enum class Reachability {
   Reachable,
-  /// Its process has ended: another one answers, also under its id.
+  /// Another process responds at its address, possibly under the same id.
   ProcessEnded,
   Unresponsive,
 };
 
-/// How orders and questions reach targets. queryStatus() tells what became of a
-/// member whose entry went, probe() whether a listed one can be reached.
+/// Sends orders and queries to targets. queryStatus() returns the status of a
+/// member whose registry entry was removed, probe() whether a listed target can
+/// be reached.
 template <typename C>
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -10,39 +10,39 @@
 
 namespace {
 
-/// Orders of loads count this long.
+/// Window over which the rate of loads is limited.
 constexpr Millis LoadWindow{5000};
 
 } // namespace
 
-bool LoadBudget::isFree() const {
+bool LoadBudget::isUnlimited() const {
   return this->Board.Config.Entry->FirstStart && !this->Board.Requested;
 }
 
-unsigned LoadBudget::allowed(unsigned Turns, const EngineSpec &Engine,
+unsigned LoadBudget::allowed(unsigned Scheduled, const EngineSpec &Engine,
                              TimePoint Now) {
-  if (this->isFree())
+  if (this->isUnlimited())
     return FreeLoads;
-  std::erase_if(this->Loads,
+  std::erase_if(this->LoadTimes,
                 [&](TimePoint At) { return Now - At > LoadWindow; });
   double Seconds = std::chrono::duration<double>(LoadWindow).count();
-  double OfAll = Engine.LoadsPerSecond * Seconds;
-  // However small its part, an owner may begin all loads that run at full
-  // speed, or half of what all may begin: few owners load at a time.
-  double Least = std::min<double>(Engine.LoadsAtOnce, OfAll / 2);
-  double Most = std::max(OfAll * this->Board.Share, Least);
-  auto Begun = static_cast<double>(this->Loads.size());
-  return std::min(Turns, static_cast<unsigned>(std::max(0.0, Most - Begun)));
+  double TotalInWindow = Engine.LoadsPerSecond * Seconds;
+  // Few owners load at the same time, so each may at least begin as many loads
+  // as run at full speed, or half of the total.
+  double Min = std::min<double>(Engine.LoadsAtOnce, TotalInWindow / 2);
+  double Max = std::max(TotalInWindow * this->Board.Share, Min);
+  auto Begun = static_cast<double>(this->LoadTimes.size());
+  return std::min(Scheduled, static_cast<unsigned>(std::max(0.0, Max - Begun)));
 }
 
 void LoadBudget::recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
-                       TimePoint Now) {
-  bool Loads =
+                             TimePoint Now) {
+  bool BeginsLoad =
       Order.Kind == OrderKind::Stage ||
       (Order.Kind == OrderKind::Join && !Order.To->hasLoaded(Order.Model) &&
        !Order.To->hasStaged(Order.Model));
-  if (Loads && Engine.model(Order.Model))
-    this->Loads.push_back(Now);
+  if (BeginsLoad && Engine.model(Order.Model))
+    this->LoadTimes.push_back(Now);
 }
 
 } // namespace waycove
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -9,25 +9,25 @@
 
 namespace waycove {
 
-/// Bounds the loads of weights from the shared store that this node's domains
-/// begin in a second, which the platform limits over all nodes; how many run is
-/// bounded by loadTurns(). Used by one thread.
+/// Limits the rate at which this node's domains begin to load weights from the
+/// shared store: its part of the platform's limit over all nodes. How many
+/// loads run at once is limited by loadTurns(). Used by one thread.
 class LoadBudget {
 public:
   explicit LoadBudget(const EntryBoard &Board) : Board(Board) {}
 
-  /// How many of \p Turns loads may begin now; FreeLoads before the first
+  /// How many of \p Scheduled loads may begin now; FreeLoads before the first
   /// request of a first start.
-  unsigned allowed(unsigned Turns, const EngineSpec &Engine, TimePoint Now);
-  /// Counts the load that \p Order causes, if any.
+  unsigned allowed(unsigned Scheduled, const EngineSpec &Engine, TimePoint Now);
+  /// Records the load that \p Order causes, if any.
   void recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
                    TimePoint Now);
 
 private:
-  bool isFree() const;
+  bool isUnlimited() const;
   const EntryBoard &Board;
-  /// When loads from the shared store were ordered lately.
-  std::vector<TimePoint> Loads;
+  /// Times of recent orders that load from the shared store.
+  std::vector<TimePoint> LoadTimes;
 };
 
 } // namespace waycove
--- a/src/control/member_prober.h
+++ b/src/control/member_prober.h
@@ -12,178 +12,182 @@
 
 namespace waycove {
 
-/// Asks after members of groups, so that a repair need not wait for the
-/// registry: those whose entries went, and those whose head stands still.
-/// Silence says something of a member only while others of its domain answer
-/// this node. Used by one thread.
+/// Detects dead members of groups before the registry reports them: it queries
+/// members whose entries were removed and probes those whose head is stalled or
+/// suspected. A member without a response counts as dead only while others of
+/// its domain respond to this node. Used by one thread.
 template <GroupControl Control> class MemberProber {
 public:
   MemberProber(EntryBoard &Board, Control &Targets)
       : Board(Board), Targets(Targets) {}
 
-  /// What became of the members that were asked after.
+  /// Status of the members that were queried.
   const std::map<VmLife, MemberFate> &statuses() const {
     return this->Statuses;
   }
 
-  /// What was learned of members is of use only while it is new: one that was
-  /// cut off may be back.
+  /// Forgets statuses that were not queried recently: a member that was
+  /// unreachable may be back.
   void expireStatuses(TimePoint Now) {
-    std::erase_if(this->Questions, [&](const auto &Entry) {
-      return Now - Entry.second.At > FateMemory;
+    std::erase_if(this->Queries, [&](const auto &Entry) {
+      return Now - Entry.second.At > StatusRetention;
     });
     std::erase_if(this->Statuses, [&](const auto &Entry) {
-      return !this->Questions.contains(Entry.first);
+      return !this->Queries.contains(Entry.first);
     });
   }
 
-  /// An order to join did not get through to \p Vm. It is taken for dead for a
-  /// while, so that the group is formed of others at once.
+  /// Treats \p Vm as dead for LostRetention after an order to join did not
+  /// reach it, so that the group is formed of others at once.
   void markUnreachable(const VmLife &Vm, TimePoint Now) {
-    this->Silent[Vm] = {Now, SilentAsks};
+    this->Suspects[Vm] = {Now, MaxFailures};
   }
 
-  /// Where a head stands still, asks its members: one that does not answer
-  /// twice, or has started again, is taken for dead, long before the registry
-  /// tells. A head that any node doubts for another reason is asked itself: one
-  /// that started again behind a cut from the registry refuses at once, so it
-  /// never stands still. Whoever is used again is told to leave first, so a
-  /// wrong guess costs a repair and breaks no promise.
+  /// Probes the members of groups whose head is stalled, and heads that any
+  /// node suspects for another reason: a head that restarted while cut off from
+  /// the registry refuses requests at once and never stalls. A member that does
+  /// not respond repeatedly, or has restarted, is added to the lost ones of \p
+  /// View. A member that is used again is told to leave first, so a wrong guess
+  /// costs a repair but is safe.
   void detectLost(DomainView &View) {
-    std::erase_if(this->Silent, [&](const auto &Entry) {
-      return View.Now - Entry.second.At > LostMemory;
+    std::erase_if(this->Suspects, [&](const auto &Entry) {
+      return View.Now - Entry.second.At > LostRetention;
     });
     std::map<GroupKey, std::vector<TargetRef>> Groups;
-    std::set<GroupKey> Still;
-    std::set<GroupKey> Doubted;
-    for (const TargetRef &Row : View.Targets) {
-      if (!Row->Group)
+    std::set<GroupKey> StalledGroups;
+    std::set<GroupKey> SuspectedGroups;
+    for (const TargetRef &Target : View.Targets) {
+      if (!Target->Group)
         continue;
-      Groups[Row->Group->Group].push_back(Row);
-      if (Row->Group->Rank != 0 || Row->Group->State != MemberState::Open)
+      Groups[Target->Group->Group].push_back(Target);
+      if (Target->Group->Rank != 0 || Target->Group->State != MemberState::Open)
         continue;
-      auto [Silence, Suspect] =
+      auto [HeadIdle, Suspect] =
           this->Board.Vitals.read([&](const VitalsTable &Rows) {
-            VmLife Life = Row->life();
-            return std::pair(Rows.silence(Life, View.Now),
-                             Rows.isSuspect(Life, View.Now));
+            VmLife Incarnation = Target->life();
+            return std::pair(Rows.silence(Incarnation, View.Now),
+                             Rows.isSuspect(Incarnation, View.Now));
           });
-      if (Silence > HeadSilence)
-        Still.insert(Row->Group->Group);
+      if (HeadIdle > HeadStallTimeout)
+        StalledGroups.insert(Target->Group->Group);
       else if (Suspect)
-        Doubted.insert(Row->Group->Group);
+        SuspectedGroups.insert(Target->Group->Group);
     }
-    for (const GroupKey &Key : Still)
-      this->askMembers(Groups[Key], View.Now);
-    for (const GroupKey &Key : Doubted)
-      this->askHead(Groups[Key], View.Now);
-    for (const auto &[Id, Row] : this->Silent)
-      if (Row.Silent >= SilentAsks)
+    for (const GroupKey &Key : StalledGroups)
+      this->probeMembers(Groups[Key], View.Now);
+    for (const GroupKey &Key : SuspectedGroups)
+      this->probeHead(Groups[Key], View.Now);
+    for (const auto &[Id, State] : this->Suspects)
+      if (State.Failures >= MaxFailures)
         View.Lost.insert(Id);
   }
 
-  /// Asks what became of members whose entries went. Silence says something
-  /// only while another target of the domain answers this node.
+  /// Queries the status of members whose registry entries were removed.
   void queryRemoved(const DomainView &View,
                     const std::vector<GoneTarget> &Members) {
-    for (const GoneTarget &Row : Members) {
-      Asked &Entry = this->Questions[Row.Last->life()];
-      MemberFate &Known = this->Statuses[Row.Last->life()];
-      Millis Pause = Known == MemberFate::Unknown ? AskEvery : AskAgain;
-      if (Entry.At != TimePoint() && View.Now - Entry.At < Pause)
+    for (const GoneTarget &Member : Members) {
+      ProbeState &Entry = this->Queries[Member.Last->life()];
+      MemberFate &Known = this->Statuses[Member.Last->life()];
+      Millis Interval =
+          Known == MemberFate::Unknown ? ProbeInterval : RequeryInterval;
+      if (Entry.At != TimePoint() && View.Now - Entry.At < Interval)
         continue;
       Entry.At = View.Now;
-      MemberFate Fate = this->Targets.queryStatus(*Row.Last);
-      if (Fate == MemberFate::Unknown && this->reachesAny(View))
-        ++Entry.Silent;
+      MemberFate Status = this->Targets.queryStatus(*Member.Last);
+      if (Status == MemberFate::Unknown && this->reachesAny(View))
+        ++Entry.Failures;
       else
-        Entry.Silent = 0;
-      if (Entry.Silent >= SilentAsks)
-        Fate = MemberFate::Dead;
-      if (std::exchange(Known, Fate) == Fate)
+        Entry.Failures = 0;
+      if (Entry.Failures >= MaxFailures)
+        Status = MemberFate::Dead;
+      if (std::exchange(Known, Status) == Status)
         continue;
-      this->Board.Log.emit(EventCode::DomainReleased, Row.Last->Id.Text,
+      this->Board.Log.emit(EventCode::DomainReleased, Member.Last->Id.Text,
                            LogFields()
                                .add("reason", "a member is not listed")
-                               .add("silent_asks", Entry.Silent)
-                               .add("fate", static_cast<int>(Fate)));
+                               .add("silent_asks", Entry.Failures)
+                               .add("fate", static_cast<int>(Status)));
     }
   }
 
 private:
-  /// A head is asked this often, and taken for dead after so many questions
-  /// without any answer.
-  static constexpr Millis AskEvery{250};
-  static constexpr unsigned SilentAsks = 2;
-  /// Once its fate is known, it is asked again this often.
-  static constexpr Millis AskAgain{1500};
-  static constexpr Millis FateMemory{2000};
-  /// Targets of a domain that are tried to see whether it can be reached.
-  static constexpr std::size_t ControlAsks = 3;
-  /// Silence of a head that is worth asking its members for: events come up to
-  /// 180 ms apart on a busy engine, first ones up to 0.5 s.
-  static constexpr Millis HeadSilence{450};
-  /// A member that was taken for dead is looked at anew after this time, if
-  /// it is still listed: the registry drops a dead one within four seconds.
-  static constexpr Millis LostMemory{6000};
-
-  struct Asked {
+  /// Interval of probes, and how many without a response make a member dead.
+  static constexpr Millis ProbeInterval{250};
+  static constexpr unsigned MaxFailures = 2;
+  /// Interval of queries once the status is known.
+  static constexpr Millis RequeryInterval{1500};
+  static constexpr Millis StatusRetention{2000};
+  /// Targets of a domain that are probed to see whether this node reaches any.
+  static constexpr std::size_t ControlProbes = 3;
+  /// A head without progress for longer is stalled; above the usual gaps
+  /// between the tokens of a busy engine.
+  static constexpr Millis HeadStallTimeout{450};
+  /// A member that counts as dead and is still listed is checked again after
+  /// this time; the registry drops dead ones sooner.
+  static constexpr Millis LostRetention{6000};
+
+  struct ProbeState {
     TimePoint At;
-    unsigned Silent = 0;
+    unsigned Failures = 0;
   };
 
-  /// Asks the head, and a few others to see whether this node reaches any.
-  void askHead(std::vector<TargetRef> Members, TimePoint Now) {
-    auto IsHead = [](const TargetRef &Row) { return Row->Group->Rank == 0; };
+  /// Probes the head, and a few others to see whether this node reaches any.
+  void probeHead(std::vector<TargetRef> Members, TimePoint Now) {
+    auto IsHead = [](const TargetRef &Member) {
+      return Member->Group->Rank == 0;
+    };
     std::stable_partition(Members.begin(), Members.end(), IsHead);
-    Members.resize(std::min(Members.size(), 1 + ControlAsks));
-    this->askMembers(Members, Now);
+    Members.resize(std::min(Members.size(), 1 + ControlProbes));
+    this->probeMembers(Members, Now);
   }
 
-  void askMembers(const std::vector<TargetRef> &Members, TimePoint Now) {
+  void probeMembers(const std::vector<TargetRef> &Members, TimePoint Now) {
     std::vector<TargetRef> Due;
-    for (const TargetRef &Row : Members) {
-      Asked &Entry = this->Silent[Row->life()];
-      if (Entry.Silent < SilentAsks &&
-          (Entry.At == TimePoint() || Now - Entry.At >= AskEvery))
-        Due.push_back(Row);
+    for (const TargetRef &Member : Members) {
+      ProbeState &Entry = this->Suspects[Member->life()];
+      if (Entry.Failures < MaxFailures &&
+          (Entry.At == TimePoint() || Now - Entry.At >= ProbeInterval))
+        Due.push_back(Member);
     }
-    std::vector<Reachability> Ends(Due.size(), Reachability::Reachable);
+    std::vector<Reachability> Results(Due.size(), Reachability::Reachable);
     {
-      std::vector<std::jthread> Askers;
+      std::vector<std::jthread> Threads;
       for (std::size_t I = 0; I < Due.size(); ++I)
-        Askers.emplace_back([&, I] { Ends[I] = this->Targets.probe(*Due[I]); });
+        Threads.emplace_back(
+            [&, I] { Results[I] = this->Targets.probe(*Due[I]); });
     }
-    // Where nobody answers, it is this node that is cut off.
-    bool Any = std::any_of(Ends.begin(), Ends.end(), [](Reachability End) {
-      return End != Reachability::Unresponsive;
-    });
+    // If no member responds, this node is the one that is cut off.
+    bool AnyReachable =
+        std::any_of(Results.begin(), Results.end(), [](Reachability Result) {
+          return Result != Reachability::Unresponsive;
+        });
     for (std::size_t I = 0; I < Due.size(); ++I) {
-      Asked &Entry = this->Silent[Due[I]->life()];
+      ProbeState &Entry = this->Suspects[Due[I]->life()];
       Entry.At = Now;
-      if (!Any)
+      if (!AnyReachable)
         continue;
-      Entry.Silent = Ends[I] == Reachability::Reachable      ? 0
-                     : Ends[I] == Reachability::ProcessEnded ? SilentAsks
-                                                             : Entry.Silent + 1;
-      if (Ends[I] != Reachability::Reachable)
+      Entry.Failures = Results[I] == Reachability::Reachable ? 0
+                       : Results[I] == Reachability::ProcessEnded
+                           ? MaxFailures
+                           : Entry.Failures + 1;
+      if (Results[I] != Reachability::Reachable)
         this->Board.Log.emit(
             EventCode::DomainReleased, Due[I]->Id.Text,
             LogFields()
-                .add("reason", Ends[I] == Reachability::ProcessEnded
+                .add("reason", Results[I] == Reachability::ProcessEnded
                                    ? "another process answers in its place"
-                                   : "does not answer while its head stands "
-                                     "still")
+                                   : "does not respond while its head is "
+                                     "stalled")
                 .add("group", Due[I]->Group->Group.Name)
-                .add("silent_asks", Entry.Silent));
+                .add("silent_asks", Entry.Failures));
     }
   }
 
   bool reachesAny(const DomainView &View) {
-    std::size_t Tries = 0;
-    for (const TargetRef &Row : View.Targets)
-      if (Tries++ < ControlAsks &&
-          this->Targets.probe(*Row) == Reachability::Reachable)
+    std::size_t Probes = 0;
+    for (const TargetRef &Target : View.Targets)
+      if (Probes++ < ControlProbes &&
+          this->Targets.probe(*Target) == Reachability::Reachable)
         return true;
     return false;
   }
@@ -191,8 +195,8 @@
   EntryBoard &Board;
   Control &Targets;
   std::map<VmLife, MemberFate> Statuses;
-  std::map<VmLife, Asked> Questions;
-  std::map<VmLife, Asked> Silent;
+  std::map<VmLife, ProbeState> Queries;
+  std::map<VmLife, ProbeState> Suspects;
 };
 
 } // namespace waycove
--- a/src/control/news.cpp
+++ b/src/control/news.cpp
@@ -12,33 +12,27 @@
 
 namespace {
 
-/// How often a node asks for news: what a head does shows to all within about
-/// two rounds, and a round costs some 50 us on each side.
-constexpr Millis RoundTime(250);
-/// Between two reads of what a neighbour leaves out: a value of 390 KB takes
-/// a quarter of a link of 20 Mbit/s then, and bounds on changes are 2 s and
-/// more.
-constexpr Millis CatchUpPause(600);
-/// A round while what this node knows is old: the store may just be back.
-constexpr Millis BehindRound(100);
-/// Where a part of what changed came and more waits: what the answer holds has
-/// been on its way meanwhile, so this bounds questions and not bytes.
-constexpr Millis PartRound(20);
-/// While a node that has just started knows nothing.
-constexpr Millis FillRound(50);
-/// For another node to be found that reads for this one: three are tried in a
-/// round.
-constexpr Millis SearchTime(900);
-/// Part of a feed's bound after which a node whose reads fail asks others: of 2
-/// s it leaves one, for a round, a first one that does not answer, and a
-/// second.
+/// Interval of queries; bounds how late all nodes see the progress of a head.
+constexpr Millis RoundInterval(250);
+/// Min interval between reads from the store of what an upstream node leaves
+/// out; limits the use of a slow link by large values.
+constexpr Millis LeftOutReadInterval(600);
+/// Interval while what this node knows is outdated: the store may be back.
+constexpr Millis OutdatedRoundInterval(100);
+/// Interval while a response held only a part of the changes.
+constexpr Millis PartialRoundInterval(20);
+/// Interval while a node that has just started knows nothing.
+constexpr Millis BootstrapRoundInterval(50);
+/// How long a new upstream node is looked for before the store is read.
+constexpr Millis UpstreamSearchTimeout(900);
+/// Part of a feed's bound after which a node whose reads fail queries peers;
+/// the rest is for a round, an unresponsive peer, and a second one.
 constexpr double PeersPart = 0.5;
-/// How many it asks in a round.
-constexpr std::size_t PeersAsked = 2;
-/// Between two such rounds where nobody has news, at most: on a day of eight
-/// seconds without the store, 295 nodes that asked two others every 0.1 s held
-/// 100 connections each, and a thread for each.
-constexpr Millis PeersPause(2000);
+/// Peers queried in a round.
+constexpr std::size_t PeersPerRound = 2;
+/// Max interval between such rounds; limits the connections and threads that
+/// peers need while the store is away.
+constexpr Millis MaxPeersInterval(2000);
 
 } // namespace
 
@@ -46,94 +40,93 @@
   NodeTable Nodes =
       this->Board.Nodes.read([](const NodeTable &Rows) { return Rows; });
   TimePoint Now = SystemClock{}.now();
-  this->noteOrder(Nodes);
-  if (!this->isFilled())
-    return this->fill(Nodes, Now);
+  this->updateReadOrder(Nodes);
+  if (!this->hasAllFeeds())
+    return this->bootstrap(Nodes, Now);
   std::vector<NodeInfo> Before =
       this->Route.nextToAsk(Nodes, this->Board.self(), Now);
-  if (!this->askInTurn(Before)) {
-    if (Before.empty() || !this->waitsForReader(SystemClock{}.now()))
-      this->readAlone("no node reads for this one");
-    this->askPeers(Nodes, SystemClock{}.now());
+  if (!this->queryUntilCurrent(Before)) {
+    if (Before.empty() || !this->awaitsNewUpstream(SystemClock{}.now()))
+      this->readStoreDirectly("no upstream node has current data");
+    this->queryPeers(Nodes, SystemClock{}.now());
   }
   this->Observations.publish(SystemClock{}.now());
-  if (std::exchange(this->MoreWaits, false))
-    return PartRound;
-  return this->isBehind(SystemClock{}.now()) ? BehindRound : RoundTime;
+  if (std::exchange(this->MoreAvailable, false))
+    return PartialRoundInterval;
+  return this->isOutdated(SystemClock{}.now()) ? OutdatedRoundInterval
+                                               : RoundInterval;
 }
 
-void NewsExchange::noteOrder(const NodeTable &Nodes) {
+void NewsExchange::updateReadOrder(const NodeTable &Nodes) {
   std::vector<NodeInfo> Order = readersOf(Nodes, this->Board.Config.DataCentre);
   bool First = Order.empty() || Order.front().Node == this->Board.Config.Node;
   this->Board.NodesKnown = Nodes.size();
   this->Board.FirstOfCentre = First;
 }
 
-bool NewsExchange::isFilled() const {
+bool NewsExchange::hasAllFeeds() const {
   for (const FeedState &Feed : this->Board.Feeds)
     if (!Feed.Cache.next())
       return false;
   return true;
 }
 
-/// Has another node tell what this one, which has just started, does not know
-/// yet: one before it, which may be starting as well. The first of each data
-/// centre asks two others once, and then reads the store. Where all nodes
-/// restart at once, the registry otherwise goes from the store to each of them,
-/// 100 MB at 80 MB/s for 295: half of them knew no targets for 1.8 s. A start
-/// costs two calls a node so, and not seven.
-Millis NewsExchange::fill(const NodeTable &Nodes, TimePoint Now) {
+/// Gets all feeds from another node after the start, so that nodes that restart
+/// together do not each read everything from the store. The first node of each
+/// data centre queries two others once, and then reads the store.
+Millis NewsExchange::bootstrap(const NodeTable &Nodes, TimePoint Now) {
   if (!this->Board.FillAwaited.holds(Now))
-    return RoundTime;
+    return RoundInterval;
   if (!Nodes.contains(this->Board.Config.Node))
-    return FillRound;
+    return BootstrapRoundInterval;
   NodeInfo Me = this->Board.self();
-  std::vector<NodeInfo> Asked = this->Route.nextToAsk(Nodes, Me, Now);
+  std::vector<NodeInfo> Candidates = this->Route.nextToAsk(Nodes, Me, Now);
   bool First = this->Board.FirstOfCentre;
   if (First) {
-    Asked = this->Route.afterAll(Nodes, Me, Now);
-    Asked.resize(std::min(Asked.size(), PeersAsked));
+    Candidates = this->Route.afterAll(Nodes, Me, Now);
+    Candidates.resize(std::min(Candidates.size(), PeersPerRound));
   }
-  for (const NodeInfo &Row : Asked)
+  for (const NodeInfo &Row : Candidates)
     if (this->Board.FillAwaited.holds(SystemClock{}.now()) &&
-        this->fillFrom(Row)) {
+        this->bootstrapFrom(Row)) {
       this->Board.FillAwaited.drop();
       return Millis(0);
     }
   if (First)
     this->Board.FillAwaited.drop();
-  return FillRound;
+  return BootstrapRoundInterval;
 }
 
-bool NewsExchange::fillFrom(const NodeInfo &Asked) {
+bool NewsExchange::bootstrapFrom(const NodeInfo &Source) {
   TimePoint SentAt = SystemClock{}.now();
-  absl::StatusOr<wire::NewsT> News = this->ask(Asked, SentAt);
+  absl::StatusOr<wire::NewsT> News = this->query(Source, SentAt);
   if (!News.ok() || !this->isCurrent(*News))
     return false;
-  this->takeNews(*News, Asked.Node, SentAt);
-  this->HeardAt = SystemClock{}.now();
+  this->applyNews(*News, Source.Node, SentAt);
+  this->LastUpdateAt = SystemClock{}.now();
   this->Board.Relayed = true;
   return true;
 }
 
-/// Asks \p Asked until one has current news.
-bool NewsExchange::askInTurn(const std::vector<NodeInfo> &Asked) {
-  return std::any_of(Asked.begin(), Asked.end(), [this](const NodeInfo &Row) {
-    return this->askFrom(Row);
-  });
+/// Queries \p Candidates one after the other until one has current data.
+bool NewsExchange::queryUntilCurrent(const std::vector<NodeInfo> &Candidates) {
+  return std::any_of(
+      Candidates.begin(), Candidates.end(),
+      [this](const NodeInfo &Row) { return this->queryUpstream(Row); });
 }
 
-/// Whether a node that has lost the one that reads for it looks for another
-/// one, instead of reading the store itself: what it knows is young, and if it
-/// ages the store's reader asks whatever this says.
-bool NewsExchange::waitsForReader(TimePoint Now) const {
-  return this->Board.Relayed && Now - this->HeardAt < SearchTime &&
-         !this->isBehind(Now);
+/// Whether a node that has lost its upstream node looks for another one instead
+/// of reading the store itself. Once what it knows is too old, StoreReader
+/// reads the store in any case.
+bool NewsExchange::awaitsNewUpstream(TimePoint Now) const {
+  return this->Board.Relayed &&
+         Now - this->LastUpdateAt < UpstreamSearchTimeout &&
+         !this->isOutdated(Now);
 }
 
-/// Whether what this node knows of a feed is older than its own reads let it
-/// become, or will be, since these fail.
-bool NewsExchange::isBehind(TimePoint Now) const {
+/// Whether what this node knows of a feed is too old, or will be soon because
+/// its own reads fail.
+bool NewsExchange::isOutdated(TimePoint Now) const {
   for (FeedKind Kind : {FeedKind::Config, FeedKind::Registry}) {
     Millis Most = *this->Board.mostAge(Kind);
     if (this->Board.state(Kind).ReadFailed)
@@ -149,131 +142,131 @@
          this->Board.state(FeedKind::Registry).ReadFailed;
 }
 
-/// Where this node has lost the store and nobody before it has current news, it
-/// asks others, each in turn, ever more rarely while none has any. What it
-/// learns so is not told on (EntryBoard::mayTell): two nodes would each take
-/// the other's word for the store's.
-void NewsExchange::askPeers(const NodeTable &Nodes, TimePoint Now) {
-  this->AskingPeers = this->AskingPeers && this->readsFail();
-  if (!this->AskingPeers && !this->isBehind(Now)) {
-    this->PeerWaits.reset();
+/// Queries other nodes in turn, with backoff, while this node can read neither
+/// the store nor an upstream node with current data. What it learns from them
+/// is not passed on (EntryBoard::mayTell): two nodes could confirm each other's
+/// old state.
+void NewsExchange::queryPeers(const NodeTable &Nodes, TimePoint Now) {
+  this->UsesPeers = this->UsesPeers && this->readsFail();
+  if (!this->UsesPeers && !this->isOutdated(Now)) {
+    this->PeerBackoff.reset();
     return;
   }
   if (Now < this->PeersDue)
     return;
   std::vector<NodeInfo> Others =
       this->Route.afterAll(Nodes, this->Board.self(), Now);
-  std::size_t Count = std::min(Others.size(), PeersAsked);
-  for (std::size_t I = 0; I < Count; ++I, ++this->PeerTurn)
-    if (this->askPeer(Others[this->PeerTurn % Others.size()])) {
-      this->PeerWaits.reset();
-      this->PeersDue = Now + RoundTime;
+  std::size_t Count = std::min(Others.size(), PeersPerRound);
+  for (std::size_t I = 0; I < Count; ++I, ++this->NextPeer)
+    if (this->queryPeer(Others[this->NextPeer % Others.size()])) {
+      this->PeerBackoff.reset();
+      this->PeersDue = Now + RoundInterval;
       return;
     }
-  this->PeersDue = Now + this->PeerWaits.next(RoundTime, PeersPause);
+  this->PeersDue =
+      Now + this->PeerBackoff.next(RoundInterval, MaxPeersInterval);
 }
 
-/// Whether \p Peer had something current. Where it had not, the connection is
-/// closed: each holds a thread there, and all nodes ask all others in turn.
-bool NewsExchange::askPeer(const NodeInfo &Peer) {
+/// Queries \p Peer and returns whether it had current data. If not, closes the
+/// connection, which holds a thread there.
+bool NewsExchange::queryPeer(const NodeInfo &Peer) {
   TimePoint SentAt = SystemClock{}.now();
-  absl::StatusOr<wire::NewsT> News = this->ask(Peer, SentAt);
+  absl::StatusOr<wire::NewsT> News = this->query(Peer, SentAt);
   if (!News.ok())
     this->Route.failed(Peer.Node, SystemClock{}.now());
   if (!News.ok() || !this->isCurrent(*News)) {
     this->Links.close(Peer.Node);
     return false;
   }
-  this->takeNews(*News, Peer.Node, SentAt);
-  if (!std::exchange(this->AskingPeers, true))
+  this->applyNews(*News, Peer.Node, SentAt);
+  if (!std::exchange(this->UsesPeers, true))
     this->Board.Log.emit(EventCode::NewsFromPeer, Peer.Node.Text);
   return true;
 }
 
-/// Asks \p Asked for all that is new; false where it does not answer or has
-/// nothing current.
-bool NewsExchange::askFrom(const NodeInfo &Asked) {
+/// Queries \p Source for all that is new; false if it does not respond or has
+/// no current data.
+bool NewsExchange::queryUpstream(const NodeInfo &Source) {
   TimePoint SentAt = SystemClock{}.now();
-  absl::StatusOr<wire::NewsT> News = this->ask(Asked, SentAt);
+  absl::StatusOr<wire::NewsT> News = this->query(Source, SentAt);
   if (!News.ok()) {
-    this->Route.failed(Asked.Node, SystemClock{}.now());
-    this->LostBy = messageOf(News.status());
+    this->Route.failed(Source.Node, SystemClock{}.now());
+    this->LastFailure = messageOf(News.status());
     return false;
   }
   if (!this->isCurrent(*News)) {
-    this->Route.stale(Asked.Node, SystemClock{}.now());
-    this->Links.close(Asked.Node);
-    this->LostBy = "its own news are old";
+    this->Route.stale(Source.Node, SystemClock{}.now());
+    this->Links.close(Source.Node);
+    this->LastFailure = "its own news are old";
     return false;
   }
-  this->Route.answered(Asked.Node);
-  this->takeNews(*News, Asked.Node, SentAt);
-  this->HeardAt = SystemClock{}.now();
-  this->readFrom(Asked.Node);
-  this->catchUp(*News, SystemClock{}.now());
+  this->Route.answered(Source.Node);
+  this->applyNews(*News, Source.Node, SentAt);
+  this->LastUpdateAt = SystemClock{}.now();
+  this->setUpstream(Source.Node);
+  this->readLeftOutFeeds(*News, SystemClock{}.now());
   return true;
 }
 
-/// \p Chosen reads the store for this node from here on.
-void NewsExchange::readFrom(const NodeId &Chosen) {
-  if (this->Board.Relayed.exchange(true) && this->Reader == Chosen)
+/// Makes \p Chosen the upstream node.
+void NewsExchange::setUpstream(const NodeId &Chosen) {
+  if (this->Board.Relayed.exchange(true) && this->Upstream == Chosen)
     return;
   this->Board.Log.emit(EventCode::ReaderChosen, Chosen.Text,
-                       LogFields().add("before", this->Reader.Text));
-  this->Reader = Chosen;
+                       LogFields().add("before", this->Upstream.Text));
+  this->Upstream = Chosen;
 }
 
-/// Has the feeds read from the store of which \p News left out what is large.
-/// Where versions come in quick succession, not each of them is read.
-void NewsExchange::catchUp(const wire::NewsT &News, TimePoint Now) {
+/// Reads feeds from the store of which \p News left out large values, at most
+/// once per LeftOutReadInterval.
+void NewsExchange::readLeftOutFeeds(const wire::NewsT &News, TimePoint Now) {
   for (std::size_t I = 0; I < this->Board.Feeds.size(); ++I) {
-    if (!News.feeds[I]->left_out || Now - this->CaughtUp[I] < CatchUpPause)
+    if (!News.feeds[I]->left_out ||
+        Now - this->LastLeftOutRead[I] < LeftOutReadInterval)
       continue;
-    this->CaughtUp[I] = Now;
+    this->LastLeftOutRead[I] = Now;
     this->Board.Log.emit(
-        EventCode::FeedReadAlone, this->Reader.Text,
+        EventCode::FeedReadAlone, this->Upstream.Text,
         LogFields().add("feed", I).add("offset", News.feeds[I]->next));
     this->Board.Feeds[I].LeftOut = true;
     this->Board.Feeds[I].Cache.wake();
   }
 }
 
-/// Reads the store itself from here on.
-void NewsExchange::readAlone(const std::string &Reason) {
+/// Gives up the upstream node; this node reads the store itself.
+void NewsExchange::readStoreDirectly(const std::string &Reason) {
   if (!this->Board.Relayed.exchange(false))
     return;
   this->Board.Log.emit(
-      EventCode::ReaderLost, this->Reader.Text,
-      LogFields().add("reason", Reason).add("last_answer", this->LostBy));
-  this->Reader = NodeId();
+      EventCode::ReaderLost, this->Upstream.Text,
+      LogFields().add("reason", Reason).add("last_answer", this->LastFailure));
+  this->Upstream = NodeId();
   for (FeedState &Feed : this->Board.Feeds)
     Feed.Cache.wake();
 }
 
-/// Tells \p Asked what this data centre sees, and asks for all that is new.
-absl::StatusOr<wire::NewsT> NewsExchange::ask(const NodeInfo &Asked,
-                                              TimePoint SentAt) {
-  wire::NewsWantedT Question;
-  Question.node = this->Board.Config.Node.Text;
-  Question.data_centre = this->Board.Config.DataCentre.Text;
+/// Sends \p Source what this data centre observes and requests all that is new.
+absl::StatusOr<wire::NewsT> NewsExchange::query(const NodeInfo &Source,
+                                                TimePoint SentAt) {
+  wire::NewsWantedT Request;
+  Request.node = this->Board.Config.Node.Text;
+  Request.data_centre = this->Board.Config.DataCentre.Text;
   bool Restored = false;
   for (const FeedState &Feed : this->Board.Feeds) {
     StorePosition Next = Feed.Cache.next().value_or(UnknownPosition);
-    Question.next.push_back(Next.At.Value);
-    Question.restored.push_back(packMarks(Feed.Cache.marks()));
+    Request.next.push_back(Next.At.Value);
+    Request.restored.push_back(packMarks(Feed.Cache.marks()));
     Restored |= Next.Era > StoreEra();
   }
   if (!Restored)
-    Question.restored.clear();
-  this->Observations.addTo(Question, Asked, SentAt);
-  return this->Links.ask(Asked, std::move(Question));
+    Request.restored.clear();
+  this->Observations.addTo(Request, Source, SentAt);
+  return this->Links.query(Source, std::move(Request));
 }
 
-/// Whether the answer is from a node that follows the store without a gap.
-/// Where this node's own reads of one feed fail, the part of the store that
-/// holds it may be away from all: the other feed's news are worth having.
-/// Before that, on a site of 89 nodes, 45 read the registry themselves for four
-/// seconds, 600 calls, because the configuration was away.
+/// Whether the response is from a node that follows the store without a gap. If
+/// this node's own reads of one feed fail, that part of the store may be away
+/// for all nodes, and current data of the other feed is enough.
 bool NewsExchange::isCurrent(const wire::NewsT &News) const {
   if (News.feeds.size() != this->Board.Feeds.size())
     return false;
@@ -289,14 +282,15 @@
   return Any;
 }
 
-/// Ages count from when the question was sent: the answer was made later.
-void NewsExchange::takeNews(const wire::NewsT &News, const NodeId &From,
-                            TimePoint SentAt) {
+/// Applies a response. Its ages count from when the request was sent, which is
+/// earlier than they were taken.
+void NewsExchange::applyNews(const wire::NewsT &News, const NodeId &From,
+                             TimePoint SentAt) {
   TimePoint Now = SystemClock{}.now();
   for (std::size_t I = 0; I < this->Board.Feeds.size(); ++I) {
     if (!News.feeds[I]->known || News.feeds[I]->left_out)
       continue;
-    this->MoreWaits |= News.feeds[I]->partial;
+    this->MoreAvailable |= News.feeds[I]->partial;
     auto Kind = static_cast<FeedKind>(I);
     if (absl::StatusOr<KeyedPage> Page = readFeed(*News.feeds[I], SentAt, Now);
         Page.ok())
--- a/src/control/news.h
+++ b/src/control/news.h
@@ -13,59 +13,63 @@
 
 namespace waycove {
 
-/// Asks other entries for news, so that one node reads the platform's store for
-/// all, and each knows what all see of the targets. A node asks the one that
-/// its place in its data centre's order gives it, a few times a second; the
-/// first of a data centre asks the first one of another that is before its own;
-/// whoever has nobody to ask reads the store itself. Proofs travel as ages, so
-/// no two clocks are compared. Nothing here decides what must be unique. Used
-/// by one thread.
+/// Gets the feeds, and what other nodes observe of the targets, from another
+/// node, so that one node reads the platform's store for all.
+///
+/// Each node queries its upstream node a few times a second: one before it in
+/// the order of its data centre, or, for the first node of a data centre, the
+/// first one of a data centre that comes earlier. A node without upstream reads
+/// the store itself. Proofs are sent as ages, so that clocks of different nodes
+/// are never compared. Decisions that need a single owner do not rely on this
+/// exchange. Used by one thread.
 class NewsExchange {
 public:
   NewsExchange(EntryBoard &Board, SharedObservations &Observations)
       : Board(Board), Observations(Observations), Links(Board) {}
 
-  /// One round of asking; how long to pause before the next.
+  /// Queries once; returns the pause before the next step.
   Millis step();
 
 private:
-  void noteOrder(const NodeTable &Nodes);
-  bool isFilled() const;
-  Millis fill(const NodeTable &Nodes, TimePoint Now);
-  bool fillFrom(const NodeInfo &Asked);
-  bool askInTurn(const std::vector<NodeInfo> &Asked);
-  bool waitsForReader(TimePoint Now) const;
-  bool askFrom(const NodeInfo &Asked);
-  void askPeers(const NodeTable &Nodes, TimePoint Now);
-  bool askPeer(const NodeInfo &Peer);
-  bool isBehind(TimePoint Now) const;
+  void updateReadOrder(const NodeTable &Nodes);
+  bool hasAllFeeds() const;
+  Millis bootstrap(const NodeTable &Nodes, TimePoint Now);
+  bool bootstrapFrom(const NodeInfo &Source);
+  bool queryUntilCurrent(const std::vector<NodeInfo> &Candidates);
+  bool awaitsNewUpstream(TimePoint Now) const;
+  bool queryUpstream(const NodeInfo &Source);
+  void queryPeers(const NodeTable &Nodes, TimePoint Now);
+  bool queryPeer(const NodeInfo &Peer);
+  bool isOutdated(TimePoint Now) const;
   bool readsFail() const;
-  void readAlone(const std::string &Reason);
-  void readFrom(const NodeId &Chosen);
-  void catchUp(const wire::NewsT &News, TimePoint Now);
-  absl::StatusOr<wire::NewsT> ask(const NodeInfo &Asked, TimePoint SentAt);
-  void takeNews(const wire::NewsT &News, const NodeId &From, TimePoint SentAt);
+  void readStoreDirectly(const std::string &Reason);
+  void setUpstream(const NodeId &Chosen);
+  void readLeftOutFeeds(const wire::NewsT &News, TimePoint Now);
+  absl::StatusOr<wire::NewsT> query(const NodeInfo &Source, TimePoint SentAt);
+  void applyNews(const wire::NewsT &News, const NodeId &From, TimePoint SentAt);
   bool isCurrent(const wire::NewsT &News) const;
 
   EntryBoard &Board;
   SharedObservations &Observations;
   NewsLinks Links;
   NewsRoute Route;
-  /// When the node that reads for this one last told news.
-  TimePoint HeardAt;
-  /// How the last node failed that was to read for this one.
-  std::string LostBy;
-  /// The node that reads for this one; empty where none does.
-  NodeId Reader;
-  /// Whose turn it is to be asked out of order, and whether that is done.
-  std::size_t PeerTurn = 0;
+  /// When the upstream node last sent an update.
+  TimePoint LastUpdateAt;
+  /// How the last query of an upstream node failed.
+  std::string LastFailure;
+  /// The upstream node; empty if there is none.
+  NodeId Upstream;
+  /// Index of the next peer to query out of order.
+  std::size_t NextPeer = 0;
   TimePoint PeersDue;
-  Backoff PeerWaits;
-  bool AskingPeers = false;
-  /// The newest answer held a part of what changed.
-  bool MoreWaits = false;
-  /// By FeedKind, when this node last had to read what was left out.
-  std::array<TimePoint, static_cast<std::size_t>(FeedKind::Count)> CaughtUp{};
+  Backoff PeerBackoff;
+  bool UsesPeers = false;
+  /// The newest response held only a part of the changes.
+  bool MoreAvailable = false;
+  /// By FeedKind, when this node last read from the store what a response left
+  /// out.
+  std::array<TimePoint, static_cast<std::size_t>(FeedKind::Count)>
+      LastLeftOutRead{};
 };
 
 } // namespace waycove
--- a/src/control/news_links.cpp
+++ b/src/control/news_links.cpp
@@ -8,52 +8,52 @@
 
 namespace {
 
-/// A neighbour answers at once; past this it is frozen, cut off or drowning,
-/// and there is time left to read the store before a change has to be in force.
-constexpr Millis AnswerTime(450);
-constexpr Millis DialTime(250);
-/// A connection that fails sooner was reset.
-constexpr Millis ResetTime(200);
+/// Leaves time to read the store instead before a change has to be in force.
+constexpr Millis ResponseTimeout(450);
+constexpr Millis ConnectTimeout(250);
+/// A connection that fails sooner was reset rather than unresponsive.
+constexpr Millis ResetTimeout(200);
 
 } // namespace
 
-absl::StatusOr<wire::NewsT> NewsLinks::ask(const NodeInfo &Asked,
-                                           wire::NewsWantedT Question) {
+absl::StatusOr<wire::NewsT> NewsLinks::query(const NodeInfo &Source,
+                                             wire::NewsWantedT Request) {
   std::uint64_t Clock = this->Board.Clock.tick(SystemClock{}.wall());
-  wire::FrameT Frame = frameOf(Clock, std::move(Question));
-  Link &Over = this->Links[Asked.Node];
-  if (Over.Host != Asked.Host || Over.Port != Asked.Port)
-    Over = {Asked.Host, Asked.Port, nullptr};
-  if (Over.Socket) {
+  wire::FrameT Frame = frameOf(Clock, std::move(Request));
+  Link &Connection = this->Links[Source.Node];
+  if (Connection.Host != Source.Host || Connection.Port != Source.Port)
+    Connection = {Source.Host, Source.Port, nullptr};
+  if (Connection.Socket) {
     TimePoint SentAt = SystemClock{}.now();
-    absl::StatusOr<wire::NewsT> News = tryOn(Over, Frame);
-    // A process that has restarted resets the connection to its last life;
-    // silence is no such thing.
-    if (News.ok() || SystemClock{}.now() - SentAt >= ResetTime)
+    absl::StatusOr<wire::NewsT> News = sendOver(Connection, Frame);
+    // A process that restarted resets connections to its last incarnation, so
+    // a reset is worth another attempt and a timeout is not.
+    if (News.ok() || SystemClock{}.now() - SentAt >= ResetTimeout)
       return News;
   }
   absl::StatusOr<Poco::Net::StreamSocket> Socket =
-      FrameSocket::dial(Asked.Host, Asked.Port, DialTime);
+      FrameSocket::dial(Source.Host, Source.Port, ConnectTimeout);
   if (!Socket.ok())
     return Socket.status();
-  Over.Socket = std::make_unique<FrameSocket>(*Socket, this->Board.Counters);
-  return tryOn(Over, Frame);
+  Connection.Socket =
+      std::make_unique<FrameSocket>(*Socket, this->Board.Counters);
+  return sendOver(Connection, Frame);
 }
 
-/// Sends the question on the open connection and waits for the answer; closes
-/// the connection where none comes.
-absl::StatusOr<wire::NewsT> NewsLinks::tryOn(Link &Over,
-                                             const wire::FrameT &Question) {
+/// Sends the request over the open connection and waits for the response;
+/// closes the connection if there is none.
+absl::StatusOr<wire::NewsT> NewsLinks::sendOver(Link &Connection,
+                                                const wire::FrameT &Request) {
   absl::StatusOr<wire::FrameT> Frame =
       makeError(ErrorKind::OutcomeUnknown, "the connection broke");
-  if (Over.Socket->send(Question))
-    Frame = Over.Socket->receive(AnswerTime);
+  if (Connection.Socket->send(Request))
+    Frame = Connection.Socket->receive(ResponseTimeout);
   if (Frame.ok() && Frame->message.type == wire::Message::News)
     return std::move(*Frame->message.AsNews());
-  Over.Socket.reset();
+  Connection.Socket.reset();
   if (!Frame.ok())
     return Frame.status();
-  return makeError(ErrorKind::BadRequest, "the answer is no news");
+  return makeError(ErrorKind::BadRequest, "the response is not a News message");
 }
 
 } // namespace waycove
--- a/src/control/news_links.h
+++ b/src/control/news_links.h
@@ -12,17 +12,17 @@
 
 namespace waycove {
 
-/// This node's connections to the nodes that it asks for news, one each, kept
-/// open between questions. Used by one thread.
+/// Connections to the nodes that this node queries, one each, kept open between
+/// requests. Used by one thread.
 class NewsLinks {
 public:
   explicit NewsLinks(EntryBoard &Board) : Board(Board) {}
 
-  /// Asks \p Asked and waits for its answer. Errors: whatever kept it from
-  /// coming; BadRequest where the answer is no news.
-  absl::StatusOr<wire::NewsT> ask(const NodeInfo &Asked,
-                                  wire::NewsWantedT Question);
-  /// Closes the connection to \p Node: each holds a thread there.
+  /// Sends \p Request to \p Source and waits for its response. Errors: those of
+  /// the connection; BadRequest if the response is of another type.
+  absl::StatusOr<wire::NewsT> query(const NodeInfo &Source,
+                                    wire::NewsWantedT Request);
+  /// Closes the connection to \p Node, which holds a thread there.
   void close(const NodeId &Node) { this->Links.erase(Node); }
 
 private:
@@ -31,8 +31,8 @@
     std::uint16_t Port = 0;
     std::unique_ptr<FrameSocket> Socket;
   };
-  static absl::StatusOr<wire::NewsT> tryOn(Link &Over,
-                                           const wire::FrameT &Question);
+  static absl::StatusOr<wire::NewsT> sendOver(Link &Connection,
+                                              const wire::FrameT &Request);
 
   EntryBoard &Board;
   std::map<NodeId, Link> Links;
--- a/src/control/news_server.cpp
+++ b/src/control/news_server.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// A node that was not asked for this long closes the connection.
-constexpr Millis QuietTime(5000);
-constexpr int MostConnections = 256;
-/// Small: one thread for each node that reads from this one.
+/// A connection without a request for this long is closed.
+constexpr Millis IdleTimeout(5000);
+constexpr int MaxConnections = 256;
+/// Small, since each connected node needs a thread.
 constexpr int StackBytes = 256 << 10;
 constexpr int IdleThreadSeconds = 5;
 
-/// What the node that asks has seen of a feed's versions; in the store's first
-/// era it has nothing to tell of them.
-EraMarks marksOf(const wire::NewsWantedT &Question, std::size_t Feed) {
-  return Feed < Question.restored.size() ? readMarks(Question.restored[Feed])
-                                         : EraMarks();
+/// What the requesting node knows of a feed's versions; empty in the store's
+/// first era.
+EraMarks marksOf(const wire::NewsWantedT &Request, std::size_t Feed) {
+  return Feed < Request.restored.size() ? readMarks(Request.restored[Feed])
+                                        : EraMarks();
 }
 
 class NewsConnection : public Poco::Net::TCPServerConnection {
@@ -53,65 +53,66 @@
     this->Server->stop();
 }
 
-/// What came after \p From, as far as others may rely on this node for it.
+/// Changes after \p From, as far as others may rely on this node for them.
 std::unique_ptr<wire::FeedNewsT>
-NewsServer::newsOf(FeedKind Kind, StorePosition From, TimePoint Now) {
+NewsServer::feedNews(FeedKind Kind, StorePosition From, TimePoint Now) {
   const FeedCache &Cache = this->Board.feed(Kind);
   if (!Cache.next() || !this->Board.mayTell(Kind, Now))
     return std::make_unique<wire::FeedNewsT>();
-  bool Fills = From == UnknownPosition;
-  KeyedPage Page = Fills ? Cache.whole() : Cache.since(From, MostPartBytes);
-  std::size_t Most = Page.Whole ? MostFilledBytes : MostPassedBytes;
+  bool KnowsNothing = From == UnknownPosition;
+  KeyedPage Page =
+      KnowsNothing ? Cache.whole() : Cache.since(From, MostPartBytes);
+  std::size_t MaxBytes = Page.Whole ? MostFilledBytes : MostPassedBytes;
   std::lock_guard Lock(this->Mutex);
   return this->Packers[static_cast<std::size_t>(Kind)].pack(Page, From, Now,
-                                                            Most);
+                                                            MaxBytes);
 }
 
 std::unique_ptr<wire::FeedNewsT>
-NewsServer::answerFor(std::size_t Feed, const wire::NewsWantedT &Question,
-                      TimePoint Now) {
-  if (Feed >= Question.next.size())
+NewsServer::feedResponse(std::size_t Feed, const wire::NewsWantedT &Request,
+                         TimePoint Now) {
+  if (Feed >= Request.next.size())
     return std::make_unique<wire::FeedNewsT>();
-  EraMarks Seen = marksOf(Question, Feed);
-  this->Board.Feeds[Feed].Cache.hear(Seen, Now);
-  StorePosition From(Seen.Era, Offset(Question.next[Feed]));
-  return this->newsOf(static_cast<FeedKind>(Feed), From, Now);
+  EraMarks Known = marksOf(Request, Feed);
+  this->Board.Feeds[Feed].Cache.hear(Known, Now);
+  StorePosition From(Known.Era, Offset(Request.next[Feed]));
+  return this->feedNews(static_cast<FeedKind>(Feed), From, Now);
 }
 
-wire::NewsT NewsServer::answer(const wire::NewsWantedT &Question) {
+wire::NewsT NewsServer::respond(const wire::NewsWantedT &Request) {
   TimePoint Now = SystemClock{}.now();
   wire::NewsT News;
   for (std::size_t I = 0; I < this->Board.Feeds.size(); ++I)
-    News.feeds.push_back(this->answerFor(I, Question, Now));
-  this->Observations.exchange(Question, News, Now);
+    News.feeds.push_back(this->feedResponse(I, Request, Now));
+  this->Observations.exchange(Request, News, Now);
   return News;
 }
 
 void NewsServer::serve(const Poco::Net::StreamSocket &Socket) {
   FrameSocket Link(Socket, this->Board.Counters);
   while (true) {
-    absl::StatusOr<wire::FrameT> Frame = Link.receive(QuietTime);
-    // The other end asks anew, or another node, when its connection ends.
+    absl::StatusOr<wire::FrameT> Frame = Link.receive(IdleTimeout);
+    // The other node connects again, or to another one.
     if (!Frame.ok() || Frame->message.type != wire::Message::NewsWanted)
       return;
-    const wire::NewsWantedT &Question = *Frame->message.AsNewsWanted();
+    const wire::NewsWantedT &Request = *Frame->message.AsNewsWanted();
     this->Board.noteAsked(SystemClock{}.now());
     if (!Link.send(frameOf(this->Board.Clock.tick(SystemClock{}.wall()),
-                           this->answer(Question))))
+                           this->respond(Request))))
       return;
   }
 }
 
 void NewsServer::start() {
-  const Endpoint &Where = this->Board.Config.PeerListen;
+  const Endpoint &Listen = this->Board.Config.PeerListen;
   Poco::Net::ServerSocket Socket;
-  Socket.bind(Poco::Net::SocketAddress(Where.Host, Where.Port), true, false);
-  Socket.listen(MostConnections);
+  Socket.bind(Poco::Net::SocketAddress(Listen.Host, Listen.Port), true, false);
+  Socket.listen(MaxConnections);
   auto Params =
       Poco::AutoPtr<Poco::Net::TCPServerParams>(new Poco::Net::TCPServerParams);
-  Params->setMaxThreads(MostConnections);
-  Params->setMaxQueued(MostConnections);
-  static Poco::ThreadPool Pool("news", 1, MostConnections, IdleThreadSeconds,
+  Params->setMaxThreads(MaxConnections);
+  Params->setMaxQueued(MaxConnections);
+  static Poco::ThreadPool Pool("news", 1, MaxConnections, IdleThreadSeconds,
                                StackBytes);
   this->Server = std::make_unique<Poco::Net::TCPServer>(
       new NewsConnections(*this), Pool, Socket, Params);
--- a/src/control/news_server.h
+++ b/src/control/news_server.h
@@ -15,13 +15,13 @@
 
 namespace waycove {
 
-/// In a question, where a node knows nothing of a feed.
+/// Position in a request of a node that knows nothing of a feed.
 constexpr StorePosition UnknownPosition{
     StoreEra(), Offset(std::numeric_limits<std::uint64_t>::max())};
 
-/// Answers other nodes that ask this one for news: what changed in each feed
-/// since the position that they name, as far as they may rely on this node for
-/// it (EntryBoard::mayTell).
+/// Responds to requests of other nodes with the changes of each feed since the
+/// position that they name, as far as they may rely on this node for it
+/// (EntryBoard::mayTell).
 class NewsServer {
 public:
   NewsServer(EntryBoard &Board, SharedObservations &Observations)
@@ -30,22 +30,23 @@
   NewsServer(const NewsServer &) = delete;
   NewsServer &operator=(const NewsServer &) = delete;
 
-  /// Listens for other nodes; throws Poco::Exception where the port is taken.
+  /// Listens for other nodes; throws Poco::Exception if the port is in use.
   void start();
-  /// Answers the questions on a connection until it ends.
+  /// Handles the requests of a connection until it ends.
   void serve(const Poco::Net::StreamSocket &Socket);
 
 private:
-  wire::NewsT answer(const wire::NewsWantedT &Question);
+  wire::NewsT respond(const wire::NewsWantedT &Request);
   std::unique_ptr<wire::FeedNewsT>
-  answerFor(std::size_t Feed, const wire::NewsWantedT &Question, TimePoint Now);
-  std::unique_ptr<wire::FeedNewsT> newsOf(FeedKind Kind, StorePosition From,
-                                          TimePoint Now);
+  feedResponse(std::size_t Feed, const wire::NewsWantedT &Request,
+               TimePoint Now);
+  std::unique_ptr<wire::FeedNewsT> feedNews(FeedKind Kind, StorePosition From,
+                                            TimePoint Now);
 
   EntryBoard &Board;
   SharedObservations &Observations;
   std::mutex Mutex;
-  /// By FeedKind; under Mutex.
+  /// By FeedKind; guarded by Mutex.
   std::array<FeedPacker, static_cast<std::size_t>(FeedKind::Count)> Packers;
   std::unique_ptr<Poco::Net::TCPServer> Server;
 };
--- a/src/control/node_follower.h
+++ b/src/control/node_follower.h
@@ -13,25 +13,26 @@
 
 namespace waycove {
 
-/// Announces this node in the directory on the platform and follows who else
-/// is there. A node that is killed stays listed until it is back, and need not
-/// be announced anew then; whoever asks it notices. Used by one thread.
+/// Announces this node in the platform's directory and follows the
+/// announcements of others. A node that is killed stays listed until it
+/// restarts, and is then not announced again; nodes that query it notice. Used
+/// by one thread.
 template <KeyedFeed Feed, NodeDirectory Directory> class NodeFollower {
 public:
-  NodeFollower(EntryBoard &Board, Feed &Source, Directory &Announced)
-      : Board(Board), Source(Source), Announced(Announced) {}
+  NodeFollower(EntryBoard &Board, Feed &Source, Directory &Announcements)
+      : Board(Board), Source(Source), Announcements(Announcements) {}
 
-  /// One read; how long to pause before the next.
+  /// Reads once; returns the pause before the next step.
   Millis step() {
     if (this->Board.Stopping)
       return this->leave();
-    // Where the whole system starts, nobody is listed yet.
+    // When the whole system starts, no node is listed yet.
     bool KnowsFirst = this->Read || this->Board.Config.Entry->FirstStart;
-    bool Due = !this->Listed || this->hasSettled() || this->hasBlamed();
+    bool Due = !this->Listed || this->hasNewSettledEra() || this->hasNewBlame();
     if (KnowsFirst && Due && !this->announce())
-      return this->Waits.next();
-    this->Waits.reset();
-    if (absl::StatusOr<KeyedPage> Page = this->Source.read(WaitTime);
+      return this->RetryBackoff.next();
+    this->RetryBackoff.reset();
+    if (absl::StatusOr<KeyedPage> Page = this->Source.read(PollTimeout);
         Page.ok()) {
       this->apply(*Page);
       this->Read = true;
@@ -40,109 +41,111 @@
   }
 
 private:
-  /// A planned stop has to be noticed: a node drops itself then.
-  static constexpr Millis WaitTime{1000};
-  /// While the process ends.
-  static constexpr Millis IdleTime{1000};
-  /// Between two announcements of what is blamed.
-  static constexpr Millis BlamePause{2000};
-
-  /// Whether this node, for all of its data centre, has to note in the
-  /// directory that what was in force before the store's present era is written
-  /// again: nodes that all start at once after a restore could not tell
-  /// otherwise, and would refuse keys for as long as the revocation bound.
-  bool hasSettled() const {
+  /// Short enough that a planned stop is noticed, which removes the
+  /// announcement.
+  static constexpr Millis PollTimeout{1000};
+  /// Interval of steps while the process stops.
+  static constexpr Millis StoppingInterval{1000};
+  /// Min interval between two announcements of blamed requests.
+  static constexpr Millis BlameInterval{2000};
+
+  /// Whether this node, on behalf of its data centre, has to announce that the
+  /// configuration from before a restore of the store was written again.
+  /// Without that, nodes that all start after a restore would refuse keys for
+  /// the length of the revocation bound.
+  bool hasNewSettledEra() const {
     StoreEra Settled = this->Board.self().Settled;
     return this->Board.FirstOfCentre && Settled > this->SettledEra;
   }
 
-  /// Whether this node, for all of its data centre, has to note in the
-  /// directory what is blamed now for the end of targets: nodes that all
-  /// start at once could not tell each other.
-  bool hasBlamed() const {
+  /// Whether this node, on behalf of its data centre, has to announce which
+  /// requests are blamed for crashes, so that nodes that all start at once
+  /// know.
+  bool hasNewBlame() const {
     if (!this->Board.FirstOfCentre ||
-        SystemClock{}.now() - this->AnnouncedAt < BlamePause)
+        SystemClock{}.now() - this->AnnouncedAt < BlameInterval)
       return false;
-    CrashRows Blamed = this->blamed();
+    CrashRows Blamed = this->currentBlame();
     return !std::equal(
         Blamed.begin(), Blamed.end(), this->AnnouncedBlamed.begin(),
         this->AnnouncedBlamed.end(),
         [](const auto &A, const auto &B) { return A.first == B.first; });
   }
 
-  CrashRows blamed() const {
+  CrashRows currentBlame() const {
     return this->Board.Crashes.read(
         [](const CrashBlame &Rows) { return Rows.lasting(); });
   }
 
   bool announce() {
     NodeInfo Me = this->Board.self();
-    CrashRows Blamed = this->blamed();
+    CrashRows Blamed = this->currentBlame();
     this->AnnouncedAt = SystemClock{}.now();
-    this->Board.Counters.Calls.add(
-        StoreUse::Announcement, this->Up ? CallCause::Start : CallCause::Retry);
+    this->Board.Counters.Calls.add(StoreUse::Announcement,
+                                   this->IsReachable ? CallCause::Start
+                                                     : CallCause::Retry);
     absl::Status Put =
-        this->Announced.put(Me.Node.Text, packNode({Me, Blamed}));
-    this->noteUp(Put.ok(), messageOf(Put));
+        this->Announcements.put(Me.Node.Text, packNode({Me, Blamed}));
+    this->setReachable(Put.ok(), messageOf(Put));
     if (Put.ok()) {
-      this->noteSettled(Me.Settled);
+      this->settle(Me.Settled);
       this->AnnouncedBlamed = std::move(Blamed);
     }
     return this->Listed = Put.ok();
   }
 
-  void noteSettled(StoreEra Era) {
+  void settle(StoreEra Era) {
     this->SettledEra = std::max(this->SettledEra, Era);
     this->Board.feed(FeedKind::Config).settle(Era, SystemClock{}.now());
   }
 
   Millis leave() {
     if (std::exchange(this->Listed, false))
-      if (absl::Status Put =
-              this->Announced.put(this->Board.Config.Node.Text, std::string());
+      if (absl::Status Put = this->Announcements.put(
+              this->Board.Config.Node.Text, std::string());
           !Put.ok())
-        this->noteUp(false, messageOf(Put));
-    return IdleTime;
+        this->setReachable(false, messageOf(Put));
+    return StoppingInterval;
   }
 
-  void noteUp(bool Answers, const std::string &Reason) {
-    if (std::exchange(this->Up, Answers) != Answers)
-      this->Board.Log.emit(Answers ? EventCode::LogReachable
-                                   : EventCode::LogUnreachable,
+  void setReachable(bool Reachable, const std::string &Reason) {
+    if (std::exchange(this->IsReachable, Reachable) != Reachable)
+      this->Board.Log.emit(Reachable ? EventCode::LogReachable
+                                     : EventCode::LogUnreachable,
                            "announcement", LogFields().add("reason", Reason));
   }
 
-  /// Takes all of a page at once: with a part of it, this node would take its
-  /// place in the order for another one.
+  /// Applies a page as a whole, since a part of it would give this node a wrong
+  /// place in the order.
   void apply(const KeyedPage &Page) {
-    std::vector<NodeInfo> Come;
-    std::set<NodeId> Left = Page.Whole ? this->listed() : std::set<NodeId>();
+    std::vector<NodeInfo> Present;
+    std::set<NodeId> Removed = Page.Whole ? this->listed() : std::set<NodeId>();
     for (const KeyedRecord &Row : Page.Records) {
       NodeId Id(Row.Key);
-      Left.erase(Id);
+      Removed.erase(Id);
       if (!Row.Value) {
-        Left.insert(Id);
+        Removed.insert(Id);
         continue;
       }
       absl::StatusOr<Announcement> Read = unpackNode(*Row.Value);
       if (Read.ok() && Read->Node.Node == Id) {
-        Come.push_back(std::move(Read->Node));
-        this->takeBlamed(Read->Blamed);
+        Present.push_back(std::move(Read->Node));
+        this->applyBlamed(Read->Blamed);
       } else
         this->Board.Log.emit(EventCode::RegistryRefused, Row.Key,
-                             LogFields().add("reason", "no announcement of a "
-                                                       "node of this name"));
+                             LogFields().add("reason", "not an announcement "
+                                                       "of this node"));
     }
-    for (const NodeInfo &Row : Come)
-      this->noteSettled(Row.Settled);
-    this->noteOwn(Page, Come, Left);
-    this->store(Come, Left);
+    for (const NodeInfo &Row : Present)
+      this->settle(Row.Settled);
+    this->updateListed(Page, Present, Removed);
+    this->store(Present, Removed);
   }
 
-  void takeBlamed(const CrashRows &Told) {
-    if (!Told.empty())
+  void applyBlamed(const CrashRows &Blamed) {
+    if (!Blamed.empty())
       this->Board.Crashes.write(
-          [&](CrashBlame &Rows) { Rows.take(Told, SystemClock{}.now()); });
+          [&](CrashBlame &Rows) { Rows.take(Blamed, SystemClock{}.now()); });
   }
 
   std::set<NodeId> listed() const {
@@ -154,36 +157,37 @@
     });
   }
 
-  void noteOwn(const KeyedPage &Page, const std::vector<NodeInfo> &Come,
-               const std::set<NodeId> &Left) {
-    // An earlier life's drop may be carried out late, or the store came back
-    // from a copy that is older than the announcement: announce anew.
-    if (Page.Whole || Left.contains(this->Board.Config.Node))
+  void updateListed(const KeyedPage &Page, const std::vector<NodeInfo> &Present,
+                    const std::set<NodeId> &Removed) {
+    // The removal by an earlier incarnation was carried out late, or the store
+    // was restored from a copy older than the announcement: announce again.
+    if (Page.Whole || Removed.contains(this->Board.Config.Node))
       this->Listed = false;
-    // An earlier life announced it at the same place.
-    for (const NodeInfo &Row : Come)
+    // An earlier incarnation announced the same address.
+    for (const NodeInfo &Row : Present)
       if (Row.samePlace(this->Board.self()))
         this->Listed = true;
   }
 
-  void store(const std::vector<NodeInfo> &Come, const std::set<NodeId> &Left) {
-    std::vector<NodeInfo> New;
-    std::vector<NodeId> Gone;
+  void store(const std::vector<NodeInfo> &Present,
+             const std::set<NodeId> &Removed) {
+    std::vector<NodeInfo> Joined;
+    std::vector<NodeId> Lost;
     this->Board.Nodes.write([&](NodeTable &Rows) {
-      for (const NodeId &Id : Left)
+      for (const NodeId &Id : Removed)
         if (Rows.erase(Id) > 0)
-          Gone.push_back(Id);
-      for (const NodeInfo &Row : Come) {
+          Lost.push_back(Id);
+      for (const NodeInfo &Row : Present) {
         NodeInfo &Old = Rows[Row.Node];
         if (Old.Incarnation != Row.Incarnation)
-          New.push_back(Row);
+          Joined.push_back(Row);
         Old = Row;
       }
     });
-    for (const NodeId &Id : Gone)
+    for (const NodeId &Id : Lost)
       this->Board.Log.emit(EventCode::PeerLost, Id.Text,
                            LogFields().add("reason", "it left the directory"));
-    for (const NodeInfo &Row : New)
+    for (const NodeInfo &Row : Joined)
       if (Row.Node != this->Board.Config.Node)
         this->Board.Log.emit(
             EventCode::PeerJoined, Row.Node.Text,
@@ -192,16 +196,16 @@
 
   EntryBoard &Board;
   FeedCursor<Feed> Source;
-  Directory &Announced;
-  Backoff Waits;
+  Directory &Announcements;
+  Backoff RetryBackoff;
   /// The directory was read once.
   bool Read = false;
   bool Listed = false;
-  bool Up = true;
-  /// The newest that some node has noted in the directory.
+  bool IsReachable = true;
+  /// The newest settled era that some node has announced.
   StoreEra SettledEra;
   TimePoint AnnouncedAt;
-  /// What this node's announcement blames.
+  /// Blamed requests in this node's announcement.
   CrashRows AnnouncedBlamed;
 };
 
--- a/src/control/order_sender.h
+++ b/src/control/order_sender.h
@@ -11,32 +11,32 @@
 
 namespace waycove {
 
-/// Carries orders to targets under the fence of an ownership, and tells the
-/// log how each was taken. Used by one thread.
+/// Sends orders to targets under the fence of an assignment and logs their
+/// outcomes. Used by one thread.
 template <GroupControl Control> class OrderSender {
 public:
   OrderSender(EntryBoard &Board, Control &Targets)
       : Board(Board), Targets(Targets) {}
 
-  /// Gives orders to different targets at the same time, so that one that does
-  /// not answer holds up none of the others, while \p Until holds. How each
-  /// was taken.
+  /// Sends \p Orders in parallel, so that an unresponsive target delays none of
+  /// the others, as long as \p HeldLease holds. Returns their outcomes in
+  /// order.
   std::vector<OrderOutcome> send(const std::vector<GroupOrder> &Orders,
-                                 std::uint64_t Fence, const Lease &Until) {
-    std::vector<OrderOutcome> Ends(Orders.size(), OrderOutcome::NotSent);
+                                 std::uint64_t Fence, const Lease &HeldLease) {
+    std::vector<OrderOutcome> Outcomes(Orders.size(), OrderOutcome::NotSent);
     {
       std::vector<std::jthread> Senders;
       for (std::size_t I = 0; I < Orders.size(); ++I)
         Senders.emplace_back([&, I] {
-          // Time may have passed, also while this process stood still.
-          if (Until.holds(SystemClock{}.now()) &&
+          // The lease may have ended since planning, e.g. in a suspension.
+          if (HeldLease.holds(SystemClock{}.now()) &&
               !this->isFenced(Orders[I], Fence))
-            Ends[I] = this->Targets.order(Orders[I], Fence);
+            Outcomes[I] = this->Targets.order(Orders[I], Fence);
         });
     }
     for (std::size_t I = 0; I < Orders.size(); ++I)
-      this->noteEnd(Orders[I], Ends[I], Fence);
-    return Ends;
+      this->recordOutcome(Orders[I], Outcomes[I], Fence);
+    return Outcomes;
   }
 
 private:
@@ -45,11 +45,12 @@
     return At != this->FencedAt.end() && At->second >= Fence;
   }
 
-  void noteEnd(const GroupOrder &Order, OrderOutcome End, std::uint64_t Fence) {
+  void recordOutcome(const GroupOrder &Order, OrderOutcome Outcome,
+                     std::uint64_t Fence) {
     this->Board.Counters.add(Counter::OrdersSent);
-    if (End != OrderOutcome::Accepted)
+    if (Outcome != OrderOutcome::Accepted)
       this->Board.Counters.add(Counter::OrdersFailed);
-    if (End == OrderOutcome::Fenced)
+    if (Outcome == OrderOutcome::Fenced)
       this->FencedAt[Order.To->life()] = Fence;
     this->Board.Log.emit(EventCode::DomainOrderEnded, Order.To->Id.Text,
                          LogFields()
@@ -58,13 +59,13 @@
                              .add("epoch", Order.Group.Epoch)
                              .add("fence", Fence)
                              .add("reason", Order.Reason)
-                             .add("end", static_cast<int>(End)));
+                             .add("end", static_cast<int>(Outcome)));
   }
 
   EntryBoard &Board;
   Control &Targets;
-  /// Fence at which a target refused for a newer owner's order; a later
-  /// life of it knows nothing of that.
+  /// Newest fence that a target refused because it has seen a newer one, by
+  /// incarnation: a target that restarts forgets the fences it has seen.
   std::map<VmLife, std::uint64_t> FencedAt;
 };
 
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -13,163 +13,166 @@
 
 namespace waycove {
 
-/// Follows the platform's registry of targets. \p Decode makes a target of an
-/// entry. Entries that went while the store was away are kept until the time is
-/// over that the page gives them to come back, but requests go there only where
-/// nothing that is listed serves: such an entry may have lapsed, or have left.
-/// A VM may start again under its id: what an earlier life wrote and comes late
-/// changes nothing. An entry that cannot be read names no target: what its key
-/// named before is not used any more, and the others hold. Where the store
-/// comes back from an older copy of itself, what is known better stays in use
-/// (RestoredEntries), and no groups are planned until targets have written
-/// again: whether an order was carried out does not show in the copy.
-/// Used by one thread.
+/// Follows the platform's registry of targets. \p Decode parses an entry.
+///
+/// Entries that vanished while the store was away are retained until the hold
+/// time of the page ends; they may have lapsed or left, so requests go there
+/// only if no listed target serves. A late entry of an earlier incarnation is
+/// ignored. An entry that cannot be parsed removes the target of its key and
+/// does not affect others.
+///
+/// After the store was restored from an older copy, entries that this node
+/// knows to be stale are not used (RestoredEntries), and no groups are planned
+/// until targets have written again: the copy does not show which orders were
+/// carried out. Used by one thread.
 template <KeyedFeed Feed, typename Decoder> class RegistryFollower {
 public:
   RegistryFollower(EntryBoard &Board, Feed &Source, Decoder Decode)
       : Board(Board), Source(Source), Decode(std::move(Decode)),
         Restored(Board.Config.Entry->TargetHeartbeat) {}
 
-  /// Takes in what is new; waits for that a while.
+  /// Applies what is new; waits a while for it.
   void step() {
-    absl::StatusOr<KeyedPage> Page = this->Source.read(WaitTime);
+    absl::StatusOr<KeyedPage> Page = this->Source.read(PollTimeout);
     if (!Page.ok())
       return;
     TimePoint Now = SystemClock{}.now();
-    this->noteEra(Page->Next.Era, Now);
+    this->updateEra(Page->Next.Era, Now);
     if (Now >= this->SettledAt)
-      this->Board.RegistryFresh.renew(Page->ProvenAt, FreshTime);
+      this->Board.RegistryFresh.renew(Page->ProvenAt, FreshDuration);
     this->apply(*Page, Now);
     this->Board.RegistryProven.raise(Page->ProvenAt);
-    this->noteAge(SystemClock{}.now() - Page->ProvenAt);
+    this->updateAge(SystemClock{}.now() - Page->ProvenAt);
   }
 
 private:
-  /// Also where nothing comes it is looked this often whether kept entries have
-  /// gone, and how old all is.
-  static constexpr Millis WaitTime{300};
-  /// How old a proof may be while groups are planned by it: a second past the
-  /// longest that a bound of 2 s leaves, for a slow store.
-  static constexpr Millis FreshTime{3000};
-  /// How long a target that went is remembered, so that its group's owner can
-  /// ask after it.
-  static constexpr Millis GoneMemory{30000};
+  /// Interval at which retained entries and the age of the registry are checked
+  /// when there are no changes.
+  static constexpr Millis PollTimeout{300};
+  /// Groups are planned while the last proof is younger than this; leaves a
+  /// second for a slow store.
+  static constexpr Millis FreshDuration{3000};
+  /// How long a removed target is remembered, so that the owner of its group
+  /// can query it.
+  static constexpr Millis RemovedRetention{30000};
 
-  /// What a page says, by what becomes of it.
-  struct Sorted {
-    std::vector<TargetRef> Come;
-    /// Keys that were dropped.
-    std::set<VmId> Left;
-    /// Keys whose entries are there and name no target.
+  /// Entries of a page by how they are handled.
+  struct ParsedPage {
+    std::vector<TargetRef> Updated;
+    /// Keys that were deleted.
+    std::set<VmId> Dropped;
+    /// Keys whose entries name no valid target.
     std::set<VmId> Refused;
-    /// Keys of which an earlier life's entry came late.
+    /// Keys with a stale entry, e.g. of an earlier incarnation.
     std::set<VmId> Outdated;
   };
 
-  void noteEra(StoreEra Now, TimePoint At) {
+  void updateEra(StoreEra Now, TimePoint At) {
     StoreEra Before = std::exchange(this->Era, Now);
-    this->BeginsEra = this->Began && Now > Before;
-    if (!this->BeginsEra)
+    this->IsFirstOfEra = this->HasApplied && Now > Before;
+    if (!this->IsFirstOfEra)
       return;
     this->SettledAt = At + FeedCache::LapseTime;
     this->Board.RegistryFresh.drop();
   }
 
   void apply(const KeyedPage &Page, TimePoint Now) {
-    Sorted Read = this->sort(Page, Now);
+    ParsedPage Read = this->parse(Page, Now);
     if (Page.Whole)
-      this->addAbsent(Read);
-    for (TargetRef &Row : this->Restored.takeDue(Now))
-      Read.Come.push_back(std::move(Row));
-    bool News = !Read.Come.empty();
+      this->addMissing(Read);
+    for (TargetRef &Target : this->Restored.takeDue(Now))
+      Read.Updated.push_back(std::move(Target));
+    bool Changed = !Read.Updated.empty();
     if (Now < Page.HoldUntil) {
-      News |= this->keep(std::exchange(Read.Left, {}), Page, Now);
+      Changed |= this->retain(std::exchange(Read.Dropped, {}), Page, Now);
     } else {
-      Read.Left.merge(this->Kept);
-      this->Kept.clear();
+      Read.Dropped.merge(this->Retained);
+      this->Retained.clear();
     }
-    Read.Left.merge(Read.Refused);
-    if (News || !Read.Left.empty())
-      this->store(Read.Come, Read.Left, Page.Next, Now);
+    Read.Dropped.merge(Read.Refused);
+    if (Changed || !Read.Dropped.empty())
+      this->applyToFleet(Read.Updated, Read.Dropped, Page.Next, Now);
   }
 
-  Sorted sort(const KeyedPage &Page, TimePoint Now) {
-    Sorted Into;
-    for (const KeyedRecord &Row : Page.Records) {
-      VmId Id(Row.Key);
-      if (!Row.Value) {
-        Into.Left.insert(Id);
+  ParsedPage parse(const KeyedPage &Page, TimePoint Now) {
+    ParsedPage Out;
+    for (const KeyedRecord &Record : Page.Records) {
+      VmId Id(Record.Key);
+      if (!Record.Value) {
+        Out.Dropped.insert(Id);
         this->RefusedValues.erase(Id);
         this->Restored.release(Id);
         continue;
       }
-      absl::StatusOr<TargetInfo> Read = this->Decode(Row.Key, *Row.Value);
+      absl::StatusOr<TargetInfo> Read = this->Decode(Record.Key, *Record.Value);
       if (!Read.ok()) {
-        Into.Refused.insert(Id);
-        this->Kept.erase(Id);
-        this->noteRefused(Id, *Row.Value, messageOf(Read.status()));
+        Out.Refused.insert(Id);
+        this->Retained.erase(Id);
+        this->logRefused(Id, *Record.Value, messageOf(Read.status()));
         continue;
       }
-      this->BirthsTold |= Read->Born != WallMs();
-      if (Read->Born < this->newestBirth(Id)) {
-        Into.Outdated.insert(Id);
-        this->noteRefused(Id, *Row.Value, "an earlier life's entry");
+      this->StartTimesSeen |= Read->Born != WallMs();
+      if (Read->Born < this->newestStart(Id)) {
+        Out.Outdated.insert(Id);
+        this->logRefused(Id, *Record.Value, "an earlier life's entry");
         continue;
       }
-      if (this->isHeld(*Read, hashText(*Row.Value), Now)) {
-        Into.Outdated.insert(Id);
+      if (this->isHeld(*Read, hashText(*Record.Value), Now)) {
+        Out.Outdated.insert(Id);
         continue;
       }
-      Into.Left.erase(Id);
-      this->Kept.erase(Id);
-      Into.Come.push_back(std::make_shared<const TargetInfo>(std::move(*Read)));
+      Out.Dropped.erase(Id);
+      this->Retained.erase(Id);
+      Out.Updated.push_back(
+          std::make_shared<const TargetInfo>(std::move(*Read)));
     }
     if (Page.Whole)
-      this->Restored.retainOnly(Into.Outdated);
-    if (this->BirthsTold)
-      this->refuseUndated(Into);
-    this->forgetRefused(Page, Into);
-    return Into;
+      this->Restored.retainOnly(Out.Outdated);
+    if (this->StartTimesSeen)
+      this->refuseWithoutStart(Out);
+    this->pruneRefused(Page, Out);
+    return Out;
   }
 
-  /// Whether the store brought the entry back and this node knows better.
+  /// Whether the entry came back with a restore and is stale.
   bool isHeld(const TargetInfo &Read, std::uint64_t Hash, TimePoint Now) {
     if (this->Restored.holds(Read.Id, Hash))
       return true;
     this->Restored.release(Read.Id);
-    if (!this->BeginsEra)
+    if (!this->IsFirstOfEra)
       return false;
-    std::optional<StaleReason> Doubt =
+    std::optional<StaleReason> Reason =
         this->Board.Targets.read([&](const Fleet &Rows) {
           return RestoredEntries::staleReasonOf(Read, Rows);
         });
-    if (!Doubt)
+    if (!Reason)
       return false;
-    this->Restored.hold(std::make_shared<const TargetInfo>(Read), Hash, *Doubt,
+    this->Restored.hold(std::make_shared<const TargetInfo>(Read), Hash, *Reason,
                         Now);
     this->Board.Log.emit(EventCode::EntryHeld, Read.Id.Text,
                          LogFields()
-                             .add("reason", staleReasonText(*Doubt))
+                             .add("reason", staleReasonText(*Reason))
                              .add("sequence", Read.Sequence)
                              .add("for_ms", this->Restored.holdDuration()));
     return true;
   }
 
-  /// Where targets tell their start, an entry that does not is another
-  /// writer's. Platforms on which no target tells it are served as they are.
-  void refuseUndated(Sorted &Into) {
-    std::erase_if(Into.Come, [&](const TargetRef &Row) {
-      if (Row->Born != WallMs())
+  /// Refuses entries without a start time if other targets state one. Platforms
+  /// on which no target does are supported.
+  void refuseWithoutStart(ParsedPage &Out) {
+    std::erase_if(Out.Updated, [&](const TargetRef &Target) {
+      if (Target->Born != WallMs())
         return false;
-      Into.Refused.insert(Row->Id);
-      this->noteRefused(Row->Id, Row->Address.text(), "it tells no start");
+      Out.Refused.insert(Target->Id);
+      this->logRefused(Target->Id, Target->Address.text(),
+                       "its start time is missing");
       return true;
     });
   }
 
-  void forgetRefused(const KeyedPage &Page, const Sorted &Read) {
-    for (const TargetRef &Row : Read.Come)
-      this->RefusedValues.erase(Row->Id);
+  void pruneRefused(const KeyedPage &Page, const ParsedPage &Read) {
+    for (const TargetRef &Target : Read.Updated)
+      this->RefusedValues.erase(Target->Id);
     if (Page.Whole)
       std::erase_if(this->RefusedValues, [&](const auto &Entry) {
         return !Read.Refused.contains(Entry.first) &&
@@ -177,9 +180,9 @@
       });
   }
 
-  /// One line a change: all of the registry is read again at times.
-  void noteRefused(const VmId &Id, const std::string &Value,
-                   const std::string &Reason) {
+  /// Logs a refused value once, although the whole registry is read repeatedly.
+  void logRefused(const VmId &Id, const std::string &Value,
+                  const std::string &Reason) {
     std::uint64_t Hash = hashText(Value);
     auto [At, New] = this->RefusedValues.try_emplace(Id, Hash);
     if (!New && std::exchange(At->second, Hash) == Hash)
@@ -188,9 +191,9 @@
                          LogFields().add("reason", Reason));
   }
 
-  /// Of the lives under this id that were listed within GoneMemory, when the
-  /// newest one started.
-  WallMs newestBirth(const VmId &Id) const {
+  /// Start time of the newest incarnation that is listed under this id or was
+  /// removed within RemovedRetention.
+  WallMs newestStart(const VmId &Id) const {
     return this->Board.Targets.read([&](const Fleet &Rows) {
       if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end())
         return At->second->Born;
@@ -199,12 +202,13 @@
     });
   }
 
-  /// Keeps targets that went, until lapsed entries are back; whether one is
-  /// new.
-  bool keep(const std::set<VmId> &Left, const KeyedPage &Page, TimePoint Now) {
+  /// Retains targets whose entries vanished until the hold time ends; returns
+  /// whether there is a new one.
+  bool retain(const std::set<VmId> &Dropped, const KeyedPage &Page,
+              TimePoint Now) {
     bool New = false;
-    for (const VmId &Id : Left) {
-      if (!this->isListed(Id) || !this->Kept.insert(Id).second)
+    for (const VmId &Id : Dropped) {
+      if (!this->isListed(Id) || !this->Retained.insert(Id).second)
         continue;
       New = true;
       this->Board.Log.emit(
@@ -221,52 +225,53 @@
         [&](const Fleet &Rows) { return Rows.Targets.contains(Id); });
   }
 
-  void noteAge(TimePoint::duration Age) {
+  void updateAge(TimePoint::duration Age) {
     bool TooOld = Age > this->Board.Config.Entry->DrainBound;
-    if (std::exchange(this->Old, TooOld) != TooOld)
+    if (std::exchange(this->AgeExceeded, TooOld) != TooOld)
       this->Board.Log.emit(
           TooOld ? EventCode::RegistryUnproven : EventCode::RegistryProven,
           this->Board.Config.Node.Text,
           LogFields().add("registry_age_ms", std::chrono::ceil<Millis>(Age)));
   }
 
-  void addAbsent(Sorted &Read) const {
+  void addMissing(ParsedPage &Read) const {
     std::set<VmId> Present = Read.Outdated;
-    for (const TargetRef &Row : Read.Come)
-      Present.insert(Row->Id);
+    for (const TargetRef &Target : Read.Updated)
+      Present.insert(Target->Id);
     this->Board.Targets.read([&](const Fleet &Rows) {
-      for (const auto &[Id, Row] : Rows.Targets)
+      for (const auto &[Id, Target] : Rows.Targets)
         if (!Present.contains(Id))
-          Read.Left.insert(Id);
+          Read.Dropped.insert(Id);
     });
   }
 
-  void store(const std::vector<TargetRef> &Come, const std::set<VmId> &Left,
-             StorePosition Registry, TimePoint Now) {
-    std::vector<VmId> Gone;
-    std::vector<std::pair<TargetRef, TargetRef>> Reborn;
+  void applyToFleet(const std::vector<TargetRef> &Updated,
+                    const std::set<VmId> &Dropped, StorePosition Registry,
+                    TimePoint Now) {
+    std::vector<VmId> RemovedIds;
+    std::vector<std::pair<TargetRef, TargetRef>> Restarted;
     std::vector<VmLife> Regrouped;
     this->Board.Targets.write([&](Fleet &Rows) {
       ++Rows.Version;
       Rows.Registry = Registry;
-      Rows.Kept = this->Kept;
+      Rows.Kept = this->Retained;
       std::erase_if(Rows.Gone, [&](const auto &Entry) {
-        return Now - Entry.second.Since > GoneMemory;
+        return Now - Entry.second.Since > RemovedRetention;
       });
-      for (const TargetRef &Row : Come) {
-        TargetRef &Last = Rows.Targets[Row->Id];
-        if (Last && Last->Born != Row->Born)
-          Reborn.emplace_back(Last, Row);
-        else if (Last && groupOf(*Last) != groupOf(*Row))
-          Regrouped.push_back(Row->life());
-        Last = Row;
-        Rows.Gone.erase(Row->Id);
+      for (const TargetRef &Target : Updated) {
+        TargetRef &Last = Rows.Targets[Target->Id];
+        if (Last && Last->Born != Target->Born)
+          Restarted.emplace_back(Last, Target);
+        else if (Last && groupOf(*Last) != groupOf(*Target))
+          Regrouped.push_back(Target->life());
+        Last = Target;
+        Rows.Gone.erase(Target->Id);
       }
-      for (const VmId &Id : Left)
+      for (const VmId &Id : Dropped)
         if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end()) {
           Rows.Gone[Id] = {At->second, Now};
           Rows.Targets.erase(At);
-          Gone.push_back(Id);
+          RemovedIds.push_back(Id);
         }
     });
     this->Board.Vitals.write([&](VitalsTable &Rows) {
@@ -274,67 +279,66 @@
         Rows.onRegrouped(Target);
     });
     rebuildServingView(this->Board);
-    // What a node finds at its start is the same in all nodes: the first of
-    // each data centre tells of it, row by row. 918 lines cost the others 9 ms,
-    // a tenth of a second on an eighth of a core, while callers wait.
-    bool Found = !std::exchange(this->Began, true);
-    if (!Found || this->Board.FirstOfCentre)
-      for (const TargetRef &Row : Come)
-        this->logTarget(*Row, Registry);
-    for (const auto &[Last, Row] : Reborn)
-      this->Board.Log.emit(EventCode::TargetReborn, Row->Id.Text,
+    // All nodes find the same at their start, so only the first of each data
+    // centre logs every target: the lines would delay requests elsewhere.
+    bool IsFirst = !std::exchange(this->HasApplied, true);
+    if (!IsFirst || this->Board.FirstOfCentre)
+      for (const TargetRef &Target : Updated)
+        this->logTarget(*Target, Registry);
+    for (const auto &[Last, Target] : Restarted)
+      this->Board.Log.emit(EventCode::TargetReborn, Target->Id.Text,
                            LogFields()
-                               .add("born", Row->Born.Value)
+                               .add("born", Target->Born.Value)
                                .add("before", Last->Born.Value)
                                .add("registry", Registry.At.Value));
-    for (const VmId &Id : Gone)
+    for (const VmId &Id : RemovedIds)
       this->Board.Log.emit(EventCode::TargetGone, Id.Text,
                            LogFields().add("registry", Registry.At.Value));
   }
 
-  static std::optional<GroupKey> groupOf(const TargetInfo &Row) {
-    return Row.Group ? std::optional(Row.Group->Group) : std::nullopt;
+  static std::optional<GroupKey> groupOf(const TargetInfo &Target) {
+    return Target.Group ? std::optional(Target.Group->Group) : std::nullopt;
   }
 
-  void logTarget(const TargetInfo &Row, StorePosition Registry) {
+  void logTarget(const TargetInfo &Target, StorePosition Registry) {
     LogFields Fields;
-    Fields.add("service", Row.Service.Text)
-        .add("address", Row.Address.text())
-        .add("domain", Row.Domain.Text)
-        .add("draining", Row.Draining)
-        .add("born", Row.Born.Value)
+    Fields.add("service", Target.Service.Text)
+        .add("address", Target.Address.text())
+        .add("domain", Target.Domain.Text)
+        .add("draining", Target.Draining)
+        .add("born", Target.Born.Value)
         .add("registry", Registry.At.Value);
     std::string Staged;
-    for (const std::string &Model : Row.Staged)
+    for (const std::string &Model : Target.Staged)
       Staged += Model + " ";
     Fields.add("staged", Staged);
-    if (Row.Group)
-      Fields.add("group", Row.Group->Group.Name)
-          .add("rank", Row.Group->Rank)
-          .add("state", static_cast<int>(Row.Group->State));
-    this->Board.Log.emit(EventCode::TargetChanged, Row.Id.Text, Fields);
+    if (Target.Group)
+      Fields.add("group", Target.Group->Group.Name)
+          .add("rank", Target.Group->Rank)
+          .add("state", static_cast<int>(Target.Group->State));
+    this->Board.Log.emit(EventCode::TargetChanged, Target.Id.Text, Fields);
   }
 
   EntryBoard &Board;
   FeedCursor<Feed> Source;
   Decoder Decode;
   RestoredEntries Restored;
-  /// The store's, as of the newest page.
+  /// Era of the store as of the newest page.
   StoreEra Era;
-  /// That page is the first of its era, and this node knows of earlier ones.
-  bool BeginsEra = false;
-  /// From then on targets have written again after the newest restore.
+  /// That page is the first of its era, and an earlier era was seen.
+  bool IsFirstOfEra = false;
+  /// When all targets have written again after the newest restore.
   TimePoint SettledAt;
-  /// Dropped from the registry, not yet taken for gone.
-  std::set<VmId> Kept;
-  /// Some target told when it started.
-  bool BirthsTold = false;
-  /// By key, the hash of the newest value that was refused.
+  /// Missing in the registry, but not yet removed.
+  std::set<VmId> Retained;
+  /// Some target stated its start time.
+  bool StartTimesSeen = false;
+  /// Hash of the newest refused value, by key.
   std::map<VmId, std::uint64_t> RefusedValues;
-  /// Something was taken in since the start.
-  bool Began = false;
-  /// All of it is older than the bound on leaving targets.
-  bool Old = false;
+  /// Something was applied since the start.
+  bool HasApplied = false;
+  /// The registry's proof is older than the drain bound.
+  bool AgeExceeded = false;
 };
 
 } // namespace waycove
--- a/src/control/restore_wait.h
+++ b/src/control/restore_wait.h
@@ -11,21 +11,18 @@
 
 namespace waycove {
 
-/// How long what the store shows proves nothing of a configuration's keys:
-/// within an era never, since the store loses nothing then.
+/// Decides when a restored store proves again that the configuration in force,
+/// with its API keys, is current. Within an era it always does, since the store
+/// loses nothing.
 ///
-/// After a restore, a configuration that took a key away may be lost, also one
-/// that no node had seen. Nobody can tell that from the copy, so it proves
-/// nothing until the operators have written again, or have had the time to, or
-/// another node says that they have. Where a node lived when the era began, its
-/// last proof of before covers most of that time.
+/// A restore may lose a configuration that revoked a key, and the restored copy
+/// does not show that. So it proves nothing until operators have written again,
+/// have had time to do so, or another node reports that they have.
 ///
-/// Where the copy lacks the version in force, operators have not written again,
-/// whatever time that takes them. Then a later one is unknown here only if it
-/// was published in the last moment before the store went away, some 0.1 s; for
-/// that they have as long as a key that was taken away may be in use anyway.
-/// Without that end all requests with keys were refused until operators had
-/// something new to publish, with the store sound. Used by one thread.
+/// If the copy lacks the version in force, operators have not written again
+/// yet. The wait then ends after the revocation bound, so that requests with
+/// keys are not refused until the next change of the configuration. Used by one
+/// thread.
 class RestoreWait {
 public:
   explicit RestoreWait(Millis RevokeBound) : RevokeBound(RevokeBound) {}
@@ -33,33 +30,31 @@
   bool isOver(const KeyedPage &Page, TimePoint Now) {
     if (this->Era != Page.Next.Era)
       this->begin(Page.Next.Era, Now);
-    // While the store cannot be read, nobody sees what operators write.
+    // Time in which the store cannot be read does not count.
     if (Page.Versions.isLost())
-      return Page.ProvenAt >= this->LostUntil;
+      return Page.ProvenAt >= this->UntilIfLost;
     return Page.Versions.Settled || Page.ProvenAt >= this->Until;
   }
 
 private:
-  /// For operators to write again, as long as targets take to: the platform
-  /// states no time for them. Costs nothing where the store was away for less
-  /// than the bound on revoked keys leaves, 2.7 s of 5.
-  static constexpr Millis WriteTime = FeedCache::LapseTime;
+  /// Time for operators to write again after a restore.
+  static constexpr Millis RewriteTimeout = FeedCache::LapseTime;
 
-  void begin(StoreEra Begun, TimePoint Now) {
-    // Where all nodes started after a restore, none can tell when it was: they
-    // wait for as long as a key that was taken away may be in use anyway.
-    Millis Wait = this->Era ? WriteTime : this->RevokeBound;
+  void begin(StoreEra NewEra, TimePoint Now) {
+    // A node that started after the restore cannot tell when it happened, so it
+    // waits for as long as a revoked key may be in use.
+    Millis Wait = this->Era ? RewriteTimeout : this->RevokeBound;
     this->Until = Now + Wait;
-    this->LostUntil = Now + std::max(WriteTime, this->RevokeBound);
-    this->Era = Begun;
+    this->UntilIfLost = Now + std::max(RewriteTimeout, this->RevokeBound);
+    this->Era = NewEra;
   }
 
   const Millis RevokeBound;
-  /// Nothing before the first page.
+  /// Unset before the first page.
   std::optional<StoreEra> Era;
   TimePoint Until;
-  /// The same where the copy lacks the version in force.
-  TimePoint LostUntil;
+  /// The same if the copy lacks the version in force.
+  TimePoint UntilIfLost;
 };
 
 } // namespace waycove
--- a/src/control/restored_entries.cpp
+++ b/src/control/restored_entries.cpp
@@ -10,45 +10,45 @@
 RestoredEntries::staleReasonOf(const TargetInfo &Read, const Fleet &Known) {
   if (auto Gone = Known.Gone.find(Read.Id); Gone != Known.Gone.end())
     return Gone->second.Last->Born == Read.Born
-               ? std::optional(StaleReason::Gone)
+               ? std::optional(StaleReason::TargetRemoved)
                : std::nullopt;
   auto Listed = Known.Targets.find(Read.Id);
   if (Listed == Known.Targets.end() || Listed->second->Born != Read.Born)
     return std::nullopt;
   if (Listed->second->Draining && !Read.Draining)
-    return StaleReason::Leaving;
+    return StaleReason::TargetLeaving;
   if (Read.Sequence < Listed->second->Sequence)
-    return StaleReason::Older;
+    return StaleReason::OlderSequence;
   return std::nullopt;
 }
 
 void RestoredEntries::hold(TargetRef Read, std::uint64_t Hash,
-                           StaleReason Doubt, TimePoint Now) {
-  Row Held{std::move(Read), Hash, std::nullopt};
-  if (Doubt != StaleReason::Leaving)
-    Held.Until = Now + this->HoldTime;
-  VmId Id = Held.Entry->Id;
-  this->Rows.insert_or_assign(Id, std::move(Held));
+                           StaleReason Reason, TimePoint Now) {
+  HeldEntry Stale{std::move(Read), Hash, std::nullopt};
+  if (Reason != StaleReason::TargetLeaving)
+    Stale.Until = Now + this->HoldDuration;
+  VmId Id = Stale.Entry->Id;
+  this->Held.insert_or_assign(Id, std::move(Stale));
 }
 
 bool RestoredEntries::holds(const VmId &Id, std::uint64_t Hash) const {
-  auto At = this->Rows.find(Id);
-  return At != this->Rows.end() && At->second.Hash == Hash;
+  auto At = this->Held.find(Id);
+  return At != this->Held.end() && At->second.Hash == Hash;
 }
 
 void RestoredEntries::retainOnly(const std::set<VmId> &Listed) {
-  std::erase_if(this->Rows, [&](const auto &Entry) {
+  std::erase_if(this->Held, [&](const auto &Entry) {
     return !Listed.contains(Entry.first);
   });
 }
 
 std::vector<TargetRef> RestoredEntries::takeDue(TimePoint Now) {
   std::vector<TargetRef> Due;
-  std::erase_if(this->Rows, [&](const auto &Entry) {
-    const Row &Held = Entry.second;
-    if (!Held.Until || Now < *Held.Until)
+  std::erase_if(this->Held, [&](const auto &Entry) {
+    const HeldEntry &Stale = Entry.second;
+    if (!Stale.Until || Now < *Stale.Until)
       return false;
-    Due.push_back(Held.Entry);
+    Due.push_back(Stale.Entry);
     return true;
   });
   return Due;
--- a/src/control/restored_entries.h
+++ b/src/control/restored_entries.h
@@ -11,57 +11,58 @@
 
 namespace waycove {
 
-/// Why an entry that a restore of the store brought back is not used.
-enum class StaleReason { Gone, Leaving, Older };
+/// Why a registry entry is considered stale after the store was restored.
+enum class StaleReason { TargetRemoved, TargetLeaving, OlderSequence };
 
-constexpr std::string_view staleReasonText(StaleReason Doubt) {
-  switch (Doubt) {
-  case StaleReason::Gone:
-    return "its target had gone";
-  case StaleReason::Leaving:
+constexpr std::string_view staleReasonText(StaleReason Reason) {
+  switch (Reason) {
+  case StaleReason::TargetRemoved:
+    return "its target had been removed";
+  case StaleReason::TargetLeaving:
     return "its target was leaving";
   default:
     return "its target has written since";
   }
 }
 
-/// Entries of targets that the store brought back with an older copy of itself
-/// and that this node knows better: its target had left since, or has written a
-/// later one. What is known stays in use until the target writes again. A
-/// target that lives does so within a heartbeat, unless what it has to say is
-/// what the copy says; one that does not lapses after three. So after three an
-/// entry that is still there holds, but for a target that said it was leaving:
-/// that is never taken back within a life. Used by one thread.
+/// Stale entries that came back when the store was restored from an older copy:
+/// this node knows that their targets left or wrote a newer entry since. What
+/// is known stays in use until the target writes again. A live target writes
+/// within a heartbeat unless its entry is up to date, and the entry of a dead
+/// one lapses after three. An entry that is still there after three heartbeats
+/// is therefore used, except for a leaving target: within an incarnation, it
+/// never returns to service. Used by one thread.
 class RestoredEntries {
 public:
-  explicit RestoredEntries(Millis Heartbeat) : HoldTime(3 * Heartbeat) {}
+  explicit RestoredEntries(Millis Heartbeat) : HoldDuration(3 * Heartbeat) {}
 
-  /// What speaks against \p Read, which the store brought back, by \p Known;
-  /// nothing where it may be used.
+  /// Why \p Read, which came back with a restore, is stale by what \p Known
+  /// holds; nothing if it may be used.
   static std::optional<StaleReason> staleReasonOf(const TargetInfo &Read,
                                                   const Fleet &Known);
-  /// Leaves \p Read, whose value's hash is \p Hash, out of use.
-  void hold(TargetRef Read, std::uint64_t Hash, StaleReason Doubt,
+  /// Keeps \p Read, whose value has the hash \p Hash, out of use.
+  void hold(TargetRef Read, std::uint64_t Hash, StaleReason Reason,
             TimePoint Now);
-  /// Whether the entry of \p Id is one that is held, and not a new one.
+  /// Whether the entry of \p Id with this hash is held back.
   bool holds(const VmId &Id, std::uint64_t Hash) const;
-  /// Its target has written again, or it lapsed.
-  void release(const VmId &Id) { this->Rows.erase(Id); }
-  /// All that the registry lists is read: others than \p Listed have lapsed.
+  /// Forgets an entry whose target wrote again or that lapsed.
+  void release(const VmId &Id) { this->Held.erase(Id); }
+  /// Forgets all but \p Listed: the other entries have lapsed.
   void retainOnly(const std::set<VmId> &Listed);
-  /// Those that hold from now on: they are still in the registry.
+  /// Removes and returns the entries that are to be used from now on, since
+  /// they are still in the registry.
   std::vector<TargetRef> takeDue(TimePoint Now);
-  Millis holdDuration() const { return this->HoldTime; }
+  Millis holdDuration() const { return this->HoldDuration; }
 
 private:
-  struct Row {
+  struct HeldEntry {
     TargetRef Entry;
     std::uint64_t Hash = 0;
-    /// Nothing where the entry is never to be used.
+    /// Unset if the entry is never used.
     std::optional<TimePoint> Until;
   };
-  const Millis HoldTime;
-  std::map<VmId, Row> Rows;
+  const Millis HoldDuration;
+  std::map<VmId, HeldEntry> Held;
 };
 
 } // namespace waycove
--- a/src/control/serving_view.h
+++ b/src/control/serving_view.h
@@ -8,7 +8,7 @@
 
 namespace waycove {
 
-/// Builds the view of serving targets anew from the tables.
+/// Rebuilds the view of serving targets from the tables.
 inline void rebuildServingView(EntryBoard &Board) {
   RoutingConfigRef Config =
       Board.Routing.read([](const RoutingConfigRef &Row) { return Row; });
@@ -24,7 +24,7 @@
   };
   std::size_t Before = 0;
   bool Changed = Board.Serving.write([&](ServingViewRef &Row) {
-    // Two followers build views; the one of the newer fleet stays.
+    // Two followers build views; the one of the newer fleet is used.
     if (Row->FleetVersion > View->FleetVersion)
       return false;
     Before = CountOf(*Row);
--- a/src/control/shared_observations.cpp
+++ b/src/control/shared_observations.cpp
@@ -8,57 +8,57 @@
 
 namespace waycove {
 
-void SharedObservations::addTo(wire::NewsWantedT &Question,
-                               const NodeInfo &Asked, TimePoint Now) const {
+void SharedObservations::addTo(wire::NewsWantedT &Request,
+                               const NodeInfo &Receiver, TimePoint Now) const {
   LoadRows Own = this->ownLoads(Now);
-  DemandTable Asks = this->ownDemand();
-  if (Asked.DataCentre == this->Board.Config.DataCentre)
-    Question.renewals = this->renewals(Now);
+  DemandTable OwnDemand = this->ownDemand();
+  if (Receiver.DataCentre == this->Board.Config.DataCentre)
+    Request.renewals = this->renewals(Now);
   std::lock_guard Lock(this->Mutex);
-  Question.loads = packLoads(this->Loads.upward(Own, Now));
-  Question.demand = packDemand(this->Demand.upward(Asks, Now));
-  auto Heard = this->CrashesHeard.find(Asked.Node);
-  Question.all_crashes = Heard == this->CrashesHeard.end() ||
-                         Now - Heard->second >= CrashBlame::ShareTime;
-  Question.crashes = packCrashes(this->crashes(Question.all_crashes, Now));
+  Request.loads = packLoads(this->Loads.upward(Own, Now));
+  Request.demand = packDemand(this->Demand.upward(OwnDemand, Now));
+  auto Received = this->CrashesReceivedAt.find(Receiver.Node);
+  Request.all_crashes = Received == this->CrashesReceivedAt.end() ||
+                        Now - Received->second >= CrashBlame::ShareTime;
+  Request.crashes = packCrashes(this->crashes(Request.all_crashes, Now));
 }
 
-void SharedObservations::exchange(const wire::NewsWantedT &Question,
-                                  wire::NewsT &Answer, TimePoint Now) {
-  bool SameCentre = Question.data_centre == this->Board.Config.DataCentre.Text;
+void SharedObservations::exchange(const wire::NewsWantedT &Request,
+                                  wire::NewsT &Response, TimePoint Now) {
+  bool SameCentre = Request.data_centre == this->Board.Config.DataCentre.Text;
   if (SameCentre) {
-    this->takeRenewals(Question.renewals, Now);
-    Answer.renewals = this->renewals(Now);
+    this->applyRenewals(Request.renewals, Now);
+    Response.renewals = this->renewals(Now);
   }
-  this->takeCrashes(Question.crashes, Now);
-  Answer.crashes = packCrashes(this->crashes(Question.all_crashes, Now));
+  this->applyCrashes(Request.crashes, Now);
+  Response.crashes = packCrashes(this->crashes(Request.all_crashes, Now));
   LoadRows Own = this->ownLoads(Now);
-  DemandTable Asks = this->ownDemand();
-  NodeId From(Question.node);
+  DemandTable OwnDemand = this->ownDemand();
+  NodeId From(Request.node);
   std::lock_guard Lock(this->Mutex);
   if (SameCentre) {
-    this->Loads.report(From, readLoads(Question.loads), Now);
-    this->Demand.report(From, readDemand(Question.demand), Now);
+    this->Loads.report(From, readLoads(Request.loads), Now);
+    this->Demand.report(From, readDemand(Request.demand), Now);
   } else {
-    this->Loads.reportCentre(From, readLoads(Question.loads), Now);
-    this->Demand.reportCentre(From, readDemand(Question.demand), Now);
+    this->Loads.reportCentre(From, readLoads(Request.loads), Now);
+    this->Demand.reportCentre(From, readDemand(Request.demand), Now);
   }
-  Answer.loads = packLoads(this->Loads.downward(Own, From, Now));
-  Answer.demand = packDemand(this->Demand.downward(Asks, From, Now));
+  Response.loads = packLoads(this->Loads.downward(Own, From, Now));
+  Response.demand = packDemand(this->Demand.downward(OwnDemand, From, Now));
 }
 
-void SharedObservations::apply(const wire::NewsT &Answer, const NodeId &From,
+void SharedObservations::apply(const wire::NewsT &Response, const NodeId &From,
                                TimePoint SentAt, TimePoint Now) {
-  this->takeRenewals(Answer.renewals, SentAt);
-  this->takeCrashes(Answer.crashes, Now);
+  this->applyRenewals(Response.renewals, SentAt);
+  this->applyCrashes(Response.crashes, Now);
   std::lock_guard Lock(this->Mutex);
-  // What changes there later than it answered is told in the next round.
-  this->CrashesHeard[From] = SentAt;
-  std::erase_if(this->CrashesHeard, [&](const auto &Row) {
+  // Changes after the response was made come with the next one.
+  this->CrashesReceivedAt[From] = SentAt;
+  std::erase_if(this->CrashesReceivedAt, [&](const auto &Row) {
     return Now - Row.second >= CrashBlame::ShareTime;
   });
-  this->Loads.tell(readLoads(Answer.loads), Now);
-  this->Demand.tell(readDemand(Answer.demand), Now);
+  this->Loads.tell(readLoads(Response.loads), Now);
+  this->Demand.tell(readDemand(Response.demand), Now);
 }
 
 LoadRows SharedObservations::ownLoads(TimePoint Now) const {
@@ -71,16 +71,16 @@
 }
 
 void SharedObservations::publish(TimePoint Now) {
-  this->settleCrashes(Now);
+  this->updateBlame(Now);
   LoadRows Others;
-  DemandTable Asked;
+  DemandTable OthersDemand;
   {
     std::lock_guard Lock(this->Mutex);
     Others = this->Loads.others(Now);
-    Asked = this->Demand.others(Now);
+    OthersDemand = this->Demand.others(Now);
   }
   this->Board.DemandElsewhere.write(
-      [&](DemandTable &Rows) { Rows = std::move(Asked); });
+      [&](DemandTable &Rows) { Rows = std::move(OthersDemand); });
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
   CentreLoads Centres = this->Board.Vitals.write([&](VitalsTable &Rows) {
@@ -102,15 +102,15 @@
   });
 }
 
-void SharedObservations::takeCrashes(
+void SharedObservations::applyCrashes(
     const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows, TimePoint Now) {
   if (Rows.empty())
     return;
-  CrashRows Told = readCrashes(Rows);
-  this->Board.Crashes.write([&](CrashBlame &Into) { Into.take(Told, Now); });
+  CrashRows Crashes = readCrashes(Rows);
+  this->Board.Crashes.write([&](CrashBlame &Into) { Into.take(Crashes, Now); });
 }
 
-void SharedObservations::settleCrashes(TimePoint Now) {
+void SharedObservations::updateBlame(TimePoint Now) {
   CrashBlame::Changes Found =
       this->Board.Vitals.read([&](const VitalsTable &Seen) {
         auto LastProgress = [&](const VmLife &Target) {
@@ -131,15 +131,16 @@
                          std::to_string(Content.Value));
 }
 
-/// Members of this data centre, which no other one needs to know.
+/// Renewals of members in this data centre; other data centres do not need
+/// them.
 std::vector<wire::RenewalRow>
 SharedObservations::renewals(TimePoint Now) const {
   return this->Board.Renewals.read(
       [&](const ShareRenewals &Rows) { return packRenewals(Rows, Now); });
 }
 
-void SharedObservations::takeRenewals(const std::vector<wire::RenewalRow> &Rows,
-                                      TimePoint From) {
+void SharedObservations::applyRenewals(
+    const std::vector<wire::RenewalRow> &Rows, TimePoint From) {
   this->Board.Renewals.write(
       [&](ShareRenewals &Into) { waycove::takeRenewals(Rows, From, Into); });
 }
--- a/src/control/shared_observations.h
+++ b/src/control/shared_observations.h
@@ -11,45 +11,46 @@
 
 namespace waycove {
 
-/// What nodes tell each other besides the feeds: what each sees of the targets,
-/// what callers asked for, which requests end targets, and, within a data
-/// centre, who renewed its share of the common work. It goes along with
-/// questions and answers for news.
-/// Thread-safe.
+/// Observations that nodes exchange in their requests and responses besides the
+/// feeds: load and health of targets, demand of callers, requests that crash
+/// targets, and, within a data centre, which members renewed their leases of
+/// partitions. Thread-safe.
 class SharedObservations {
 public:
   explicit SharedObservations(EntryBoard &Board) : Board(Board) {}
 
-  /// Adds what this node, and those that ask it, see, for \p Asked.
-  void addTo(wire::NewsWantedT &Question, const NodeInfo &Asked,
+  /// Adds the observations of this node, and of those downstream of it, to a
+  /// request to \p Receiver.
+  void addTo(wire::NewsWantedT &Request, const NodeInfo &Receiver,
              TimePoint Now) const;
-  /// Takes in what the asker tells, and adds what all others see.
-  void exchange(const wire::NewsWantedT &Question, wire::NewsT &Answer,
+  /// Applies the observations in \p Request and adds those of all other nodes
+  /// to \p Response.
+  void exchange(const wire::NewsWantedT &Request, wire::NewsT &Response,
                 TimePoint Now);
-  /// Takes in the answer of \p From to a question that left at \p SentAt.
-  void apply(const wire::NewsT &Answer, const NodeId &From, TimePoint SentAt,
+  /// Applies the response of \p From to a request sent at \p SentAt.
+  void apply(const wire::NewsT &Response, const NodeId &From, TimePoint SentAt,
              TimePoint Now);
-  /// Puts what all others see on the board.
+  /// Updates the board with the observations of all other nodes.
   void publish(TimePoint Now);
 
 private:
   LoadRows ownLoads(TimePoint Now) const;
   DemandTable ownDemand() const;
   std::vector<wire::RenewalRow> renewals(TimePoint Now) const;
-  /// What is to be told of requests that end targets: all of it, or what is
-  /// new.
+  /// Requests that crash targets: all known ones, or the recent ones alone.
   CrashRows crashes(bool All, TimePoint Now) const;
-  void takeCrashes(const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows,
-                   TimePoint Now);
-  void settleCrashes(TimePoint Now);
-  void takeRenewals(const std::vector<wire::RenewalRow> &Rows, TimePoint From);
+  void applyCrashes(const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows,
+                    TimePoint Now);
+  void updateBlame(TimePoint Now);
+  void applyRenewals(const std::vector<wire::RenewalRow> &Rows, TimePoint From);
 
   EntryBoard &Board;
   mutable std::mutex Mutex;
   LoadBook Loads;
   ReportBook<DemandTable> Demand;
-  /// When each node that this one asks last told what ends targets.
-  std::map<NodeId, TimePoint> CrashesHeard;
+  /// When the last request was sent to each upstream node that responded with
+  /// its crashes.
+  std::map<NodeId, TimePoint> CrashesReceivedAt;
 };
 
 } // namespace waycove
--- a/src/control/store_reader.h
+++ b/src/control/store_reader.h
@@ -11,205 +11,203 @@
 
 namespace waycove {
 
-/// A feed at the platform's store, over a connection of its own that renew()
-/// replaces before the next call.
+/// A feed at the platform's store over its own connection; renew() makes the
+/// next call open a new one.
 template <typename F>
 concept StoreFeed = KeyedFeed<F> && requires(F &Feed) {
   Feed.renew();
 };
 
-/// Reads one feed from the platform's store into this node's cache, unless a
-/// neighbour does that for it. Whoever follows the feed waits for the cache
-/// alone: a call that hangs keeps nobody from what a neighbour has told.
+/// Reads one feed from the platform's store into this node's cache, unless an
+/// upstream node does that for this one. Followers of the feed wait for the
+/// cache alone, so a call that hangs does not keep updates of other nodes from
+/// them.
 ///
-/// One thread reads in turn (step). A second one (watch) looks at the age of
-/// what is known: where that passes what the operators' bound leaves
-/// (EntryBoard::mostAge) while the other's call hangs, it asks on a new
-/// connection. A connection that died without a word so costs that age and one
-/// call, 1.4 s and some 10 ms of a bound of 2 s, instead of all the time-outs
-/// in its way, 2.9 s for each.
+/// One thread reads regularly (step). A second one (watch) checks the age of
+/// what is known: when it exceeds EntryBoard::mostAge while the call of the
+/// first one hangs, it reads over a new connection. A dead connection thus
+/// costs that age and one call rather than its timeouts.
 template <StoreFeed Feed> class StoreReader {
 public:
-  /// \p Open opens the feed at the store.
+  /// \p Open opens a connection to the feed at the store.
   StoreReader(EntryBoard &Board, FeedKind Kind, Feed (*Open)(EntryBoard &))
-      : Board(Board), Cache(Board.feed(Kind)), Kind(Kind), Turn(Board, Open),
-        Spare(Board, Open) {}
+      : Board(Board), Cache(Board.feed(Kind)), Kind(Kind), Main(Board, Open),
+        Backup(Board, Open) {}
 
-  /// One read, or a wait while a neighbour reads; how long to pause then.
+  /// Reads once, or waits while an upstream node reads; returns the pause
+  /// before the next step.
   Millis step() {
     TimePoint Now = SystemClock{}.now();
-    if (!this->Cache.next() && this->isFillAwaited(Now))
-      return FillLook;
-    if (this->isWholeAwaited(Now))
-      return FillLook;
+    if (!this->Cache.next() && this->awaitsFill(Now))
+      return FillPollInterval;
+    if (this->awaitsFullPage(Now))
+      return FillPollInterval;
     std::atomic<bool> &LeftOut = this->Board.state(this->Kind).LeftOut;
-    bool Rested = !LeftOut && this->rest(Now);
+    bool Waited = !LeftOut && this->waitForUpstream(Now);
     bool Whole = LeftOut.exchange(false);
-    if (Rested && !Whole && !this->mustRead(SystemClock{}.now()))
+    if (Waited && !Whole && !this->mustRead(SystemClock{}.now()))
       return Millis(0);
-    if (Rested)
-      this->Turn.Store.renew();
+    if (Waited)
+      this->Main.Store.renew();
     Now = SystemClock{}.now();
-    this->HangsFrom.store((Now + Patience).time_since_epoch().count());
-    Millis Pause = this->read(this->Turn, this->waitTime(Now), Whole);
-    this->HangsFrom.store(NoCall);
+    this->HangsSince.store((Now + HangTimeout).time_since_epoch().count());
+    Millis Pause = this->read(this->Main, this->pollTimeout(Now), Whole);
+    this->HangsSince.store(NoCall);
     return Pause;
   }
 
-  /// Reads on a new connection where the call of step() hangs and what is known
-  /// is too old; how long to pause before the next look.
+  /// Reads over a new connection if the call of step() hangs and what is known
+  /// is too old; returns the pause before the next check.
   Millis watch() {
-    std::optional<Millis> Most = this->Board.mostAge(this->Kind);
-    if (!Most || !this->Cache.next())
-      return IdleLook;
+    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
+    if (!MaxAge || !this->Cache.next())
+      return IdlePollInterval;
     TimePoint Now = SystemClock{}.now();
-    if (TimePoint Due = this->Cache.provenAt() + *Most; Now < Due)
+    if (TimePoint Due = this->Cache.provenAt() + *MaxAge; Now < Due)
       return std::chrono::ceil<Millis>(Due - Now);
-    if (Now.time_since_epoch().count() < this->HangsFrom.load() ||
-        this->isWholeAwaited(Now))
-      return OverdueLook;
-    this->Spare.Store.renew();
-    Millis Pause = this->read(this->Spare, Millis(0), false);
-    return std::max(Pause, OverdueLook);
+    if (Now.time_since_epoch().count() < this->HangsSince.load() ||
+        this->awaitsFullPage(Now))
+      return OverduePollInterval;
+    this->Backup.Store.renew();
+    Millis Pause = this->read(this->Backup, Millis(0), false);
+    return std::max(Pause, OverduePollInterval);
   }
 
 private:
-  /// A node that reads for others proves after this part of the bound that
-  /// nothing changed: of 2 s 0.6. Three hops of a round of news, 0.25 s each,
-  /// keep what all others know below mostAge.
-  static constexpr double ReaderPart = 0.3;
-  /// Where it is the only node, it reads so long before that age.
-  static constexpr Millis AloneMargin{100};
-  /// The same where no bound is set.
-  static constexpr Millis UnboundWait{4000};
-  /// Part of the revocation bound between two proofs of the configuration: two
-  /// reads, the follower's margin and slow answers have to fit into the bound,
-  /// at the shortest in use (1.5 s) with 0.45 s for answers.
-  static constexpr double ProofPart = 0.3;
-  /// Changes of the registry come in series: what comes within this time shares
-  /// a call. Nodes that order groups, or read for those, wait for orders to
-  /// show; hence no longer.
-  static constexpr Millis RegistryGather{220};
-  /// Nodes come in series, too, and nothing waits for one more of them.
-  static constexpr Millis DirectoryGather{1500};
-  /// So much more rarely than the other feeds it is tried where the store
-  /// fails.
-  static constexpr int DirectoryPatience = 4;
-  /// Versions come in series too, up to 17 in a second.
-  static constexpr Millis ConfigGather{100};
-  /// Where nobody waits for what this node reads: neither others that read
-  /// through it nor groups of its own.
-  static constexpr Millis AloneGather{500};
-  /// A call that is younger than this is given its time: the store takes some
-  /// 4 ms, and 240 when it is slow.
-  static constexpr Millis Patience{250};
-  static constexpr Millis OverdueLook{50};
-  static constexpr Millis IdleLook{500};
+  /// Part of a feed's bound between two proofs of a node that reads for others;
+  /// leaves time for three hops between nodes before mostAge.
+  static constexpr double ReaderProofPart = 0.3;
+  /// A single node reads this long before mostAge.
+  static constexpr Millis SingleNodeMargin{100};
+  /// Interval between proofs of a feed without a bound.
+  static constexpr Millis UnboundedWait{4000};
+  /// Part of the revocation bound between two proofs of the configuration. Two
+  /// reads, the follower's margin and slow responses have to fit into the
+  /// bound.
+  static constexpr double ConfigProofPart = 0.3;
+  /// Delay after a read of the registry, so that changes that come together
+  /// share a call. Short, since owners wait for the effect of their orders.
+  static constexpr Millis RegistryBatchDelay{220};
+  /// The same for the directory, whose changes are not urgent.
+  static constexpr Millis DirectoryBatchDelay{1500};
+  /// While the store fails, the directory is read this much less often than the
+  /// other feeds.
+  static constexpr int DirectoryBackoffFactor = 4;
+  /// Delay after a read of the configuration.
+  static constexpr Millis ConfigBatchDelay{100};
+  /// Delay after a read if neither other nodes nor owned domains wait for it.
+  static constexpr Millis IdleBatchDelay{500};
+  /// A call counts as hanging after this time; longer than a slow store takes.
+  static constexpr Millis HangTimeout{250};
+  static constexpr Millis OverduePollInterval{50};
+  static constexpr Millis IdlePollInterval{500};
   static constexpr std::int64_t NoCall =
       std::numeric_limits<std::int64_t>::max();
 
-  /// While this node may be told what it does not know yet.
-  static constexpr Millis FillLook{20};
-  /// All nodes start within 0.3 s of each other when the whole system starts,
-  /// as the platform states: one read of the directory shows them all then.
+  /// Poll interval while another node may still send what this one lacks.
+  static constexpr Millis FillPollInterval{20};
+  /// All nodes of a system that starts have announced themselves after this
+  /// time, so that one read of the directory shows them.
   static constexpr Millis StartSpread{400};
-  /// After a restore of the store, for a neighbour to tell all of a feed: three
-  /// hops of a round each, and its reading. Meanwhile what is known serves.
-  static constexpr Millis WholeWait{1000};
-  /// After all was read at the start: others are asked meanwhile who read on.
-  static constexpr Millis StartPause{500};
+  /// After a restore, how long to wait for another node to send the whole feed:
+  /// its read and three hops.
+  static constexpr Millis FullPageTimeout{1000};
+  /// Delay after the first read, in which an upstream node is looked for.
+  static constexpr Millis StartDelay{500};
 
-  /// One of the two connections.
-  struct Lane {
-    Lane(EntryBoard &Board, Feed (*Open)(EntryBoard &)) : Store(Open(Board)) {}
+  /// One of the two connections with its state.
+  struct Connection {
+    Connection(EntryBoard &Board, Feed (*Open)(EntryBoard &))
+        : Store(Open(Board)) {}
     Feed Store;
-    Backoff Waits;
+    Backoff RetryBackoff;
     bool Failed = false;
-    /// The store does not hold what came since; all of it has to be read.
+    /// The history since the last read is truncated; everything has to be read.
     bool HistoryGone = false;
   };
 
-  bool isFillAwaited(TimePoint Now) const {
+  bool awaitsFill(TimePoint Now) const {
     if (this->Kind == FeedKind::Nodes)
       return this->Board.Config.Entry->FirstStart &&
-             Now - this->Began < StartSpread;
+             Now - this->StartTime < StartSpread;
     return this->Board.FillAwaited.holds(Now);
   }
-  /// The store came back from an older copy, and all of the feed is to be read.
-  /// The first node of each data centre does so at once, and tells the others.
-  /// The configuration is small, and has to be in force soon.
-  void noteRestore(StoreEra Era, TimePoint Now) {
+  /// The store was restored from an older copy, so the whole feed has to be
+  /// read. The first node of each data centre does so at once, and the others
+  /// get it from there; each reads the small configuration itself.
+  void onRestore(StoreEra Era, TimePoint Now) {
     bool First = this->Board.FirstOfCentre || this->Board.NodesKnown <= 1 ||
                  this->Kind == FeedKind::Config;
-    TimePoint Due = First ? Now : Now + WholeWait;
-    this->WholeDue = Due.time_since_epoch().count();
+    TimePoint Due = First ? Now : Now + FullPageTimeout;
+    this->FullPageDue = Due.time_since_epoch().count();
     this->NewEra = Era.Value;
   }
   bool isRestored(const std::optional<StorePosition> &Known) const {
     return Known && Known->Era < StoreEra(this->NewEra);
   }
-  bool isWholeAwaited(TimePoint Now) const {
+  bool awaitsFullPage(TimePoint Now) const {
     return this->isRestored(this->Cache.next()) &&
-           Now.time_since_epoch().count() < this->WholeDue;
+           Now.time_since_epoch().count() < this->FullPageDue;
   }
   bool isOverdue(TimePoint Now) const {
-    std::optional<Millis> Most = this->Board.mostAge(this->Kind);
-    return Most && Now - this->Cache.provenAt() >= *Most;
+    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
+    return MaxAge && Now - this->Cache.provenAt() >= *MaxAge;
   }
   bool mustRead(TimePoint Now) const {
     return !this->Board.Relayed || !this->Cache.next() || this->isOverdue(Now);
   }
 
-  /// Waits while a neighbour reads the feed for this node; whether it did.
-  bool rest(TimePoint Now) {
+  /// Waits while an upstream node reads the feed for this one; returns whether
+  /// it does.
+  bool waitForUpstream(TimePoint Now) {
     if (this->mustRead(Now))
       return false;
-    std::optional<Millis> Most = this->Board.mostAge(this->Kind);
-    this->Cache.waitWake(Most ? this->Cache.provenAt() + *Most
-                              : Now + UnboundWait);
+    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
+    this->Cache.waitWake(MaxAge ? this->Cache.provenAt() + *MaxAge
+                                : Now + UnboundedWait);
     return true;
   }
 
-  /// How long the store may wait for something new, so that the next proof
-  /// comes in time: where one came with records, it is as old as its question.
-  /// Not at all while others may not rely on this node yet: one that takes over
-  /// from a reader would else have nothing to tell for as long as its first
-  /// wait, and each other node would read the store itself.
-  Millis waitTime(TimePoint Now) const {
+  /// How long the store may wait for a change, so that the next proof comes in
+  /// time; a proof that comes with records is as old as its request. Zero while
+  /// others may not rely on this node: one that takes over from another reader
+  /// needs a proof at once, or each other node would read the store itself.
+  Millis pollTimeout(TimePoint Now) const {
     if (!this->Board.mayTell(this->Kind, Now))
       return Millis(0);
-    Millis Span = this->proofSpan(Now);
-    auto Left =
-        std::chrono::duration_cast<Millis>(this->Cache.provenAt() + Span - Now);
-    return std::clamp(Left, Millis(0), Span);
+    Millis Interval = this->proofInterval(Now);
+    auto Remaining = std::chrono::duration_cast<Millis>(this->Cache.provenAt() +
+                                                        Interval - Now);
+    return std::clamp(Remaining, Millis(0), Interval);
   }
 
-  Millis proofSpan(TimePoint Now) const {
+  Millis proofInterval(TimePoint Now) const {
     std::optional<Millis> Bound = this->Board.boundOf(this->Kind);
     if (!Bound)
-      return UnboundWait;
-    bool Awaited = this->Board.servesNews(Now) || this->Board.NodesKnown > 1;
-    Millis Span = Awaited ? EntryBoard::partOf(*Bound, ReaderPart)
-                          : *this->Board.mostAge(this->Kind) - AloneMargin;
+      return UnboundedWait;
+    bool IsReader = this->Board.servesNews(Now) || this->Board.NodesKnown > 1;
+    Millis Interval = IsReader
+                          ? EntryBoard::partOf(*Bound, ReaderProofPart)
+                          : *this->Board.mostAge(this->Kind) - SingleNodeMargin;
     if (this->Kind == FeedKind::Config)
-      Span = std::min(
-          Span,
-          EntryBoard::partOf(this->Board.Config.Entry->RevokeBound, ProofPart));
-    return std::max(Span, Millis(0));
+      Interval = std::min(
+          Interval, EntryBoard::partOf(this->Board.Config.Entry->RevokeBound,
+                                       ConfigProofPart));
+    return std::max(Interval, Millis(0));
   }
 
-  Millis gatherTime(CallCause Cause) const {
+  Millis batchDelay(CallCause Cause) const {
     if (Cause == CallCause::Start && this->Board.NodesKnown > 1)
-      return StartPause;
+      return StartDelay;
     if (Cause == CallCause::Alone && this->Board.Share == 0)
-      return AloneGather;
+      return IdleBatchDelay;
     switch (this->Kind) {
     case FeedKind::Registry:
-      return RegistryGather;
+      return RegistryBatchDelay;
     case FeedKind::Nodes:
-      return DirectoryGather;
+      return DirectoryBatchDelay;
     default:
-      return ConfigGather;
+      return ConfigBatchDelay;
     }
   }
 
@@ -224,58 +222,58 @@
     }
   }
 
-  CallCause causeOf(const Lane &By, TimePoint Now, bool LeftOut) const {
-    if (By.Failed)
+  CallCause causeOf(const Connection &Link, TimePoint Now, bool LeftOut) const {
+    if (Link.Failed)
       return CallCause::Retry;
-    if (By.HistoryGone || this->isRestored(this->Cache.next()))
+    if (Link.HistoryGone || this->isRestored(this->Cache.next()))
       return CallCause::HistoryGone;
     if (!this->Cache.next())
       return CallCause::Start;
     if (LeftOut)
       return CallCause::Large;
-    if (this->Board.Relayed || &By == &this->Spare)
+    if (this->Board.Relayed || &Link == &this->Backup)
       return CallCause::Aged;
     return this->Board.servesNews(Now) ? CallCause::Duty : CallCause::Alone;
   }
 
-  Millis read(Lane &By, Millis Wait, bool LeftOut) {
+  Millis read(Connection &Link, Millis Wait, bool LeftOut) {
     std::optional<StorePosition> From = this->Cache.next();
     TimePoint SentAt = SystemClock{}.now();
-    CallCause Cause = this->causeOf(By, SentAt, LeftOut);
-    bool Whole = LeftOut || By.HistoryGone || !From || this->isRestored(From);
+    CallCause Cause = this->causeOf(Link, SentAt, LeftOut);
+    bool Whole = LeftOut || Link.HistoryGone || !From || this->isRestored(From);
     absl::StatusOr<KeyedPage> Page =
-        Whole ? By.Store.newest() : By.Store.follow(*From, Wait);
-    By.Failed = !Page.ok();
+        Whole ? Link.Store.newest() : Link.Store.follow(*From, Wait);
+    Link.Failed = !Page.ok();
     this->Board.Counters.Calls.add(useOf(this->Kind), Cause,
                                    Page.ok() ? Page->Calls : 1);
     TimePoint Now = SystemClock{}.now();
     if (!Page.ok())
-      return this->onFailure(By, Page.status(), SentAt, Now);
-    // The store came back from an older copy: what follows the old offset there
-    // does not follow what this node knows.
+      return this->onFailure(Link, Page.status(), SentAt, Now);
+    // The store was restored from an older copy, where records after the old
+    // offset do not continue what this node knows.
     if (!Whole && Page->Next.Era > From->Era) {
-      this->noteRestore(Page->Next.Era, Now);
+      this->onRestore(Page->Next.Era, Now);
       return Millis(0);
     }
-    // A read that waited in vain shows at its end that nothing had come.
-    bool InVain = !Whole && Page->Records.empty() && Now - SentAt >= Wait;
-    Page->ProvenAt = InVain ? SentAt + Wait : SentAt;
+    // A read that timed out proves that nothing changed until its end.
+    bool TimedOut = !Whole && Page->Records.empty() && Now - SentAt >= Wait;
+    Page->ProvenAt = TimedOut ? SentAt + Wait : SentAt;
     bool Stale =
-        From && (By.HistoryGone ? Page->Next <= *From : Page->Next < *From);
+        From && (Link.HistoryGone ? Page->Next <= *From : Page->Next < *From);
     if (Stale)
-      return this->onStale(By, *Page, *From);
-    By.HistoryGone = false;
-    By.Waits.reset();
+      return this->onStale(Link, *Page, *From);
+    Link.HistoryGone = false;
+    Link.RetryBackoff.reset();
     for (const KeyedRecord &Record : Page->Records)
       Page->Versions.Shown = std::max(Page->Versions.Shown, Record.Version);
-    this->onAnswer(*Page, SentAt, Now);
-    return this->gatherTime(Cause);
+    this->onSuccess(*Page, SentAt, Now);
+    return this->batchDelay(Cause);
   }
 
-  Millis onFailure(Lane &By, const absl::Status &Why, TimePoint SentAt,
+  Millis onFailure(Connection &Link, const absl::Status &Why, TimePoint SentAt,
                    TimePoint Now) {
     if (kindOf(Why) == ErrorKind::NotFound) {
-      By.HistoryGone = true;
+      Link.HistoryGone = true;
       return Millis(0);
     }
     std::lock_guard Lock(this->Mutex);
@@ -287,34 +285,35 @@
               .add("reason", messageOf(Why))
               .add("after_ms", std::chrono::ceil<Millis>(Now - SentAt)));
     ProbePace Pace = this->Board.storePace();
-    int Patience = this->Kind == FeedKind::Nodes ? DirectoryPatience : 1;
-    return By.Waits.next(Pace.Least * Patience, Pace.Most * Patience);
+    int Factor = this->Kind == FeedKind::Nodes ? DirectoryBackoffFactor : 1;
+    return Link.RetryBackoff.next(Pace.Least * Factor, Pace.Most * Factor);
   }
 
-  /// What the store tells is older than what this node knows: a read of a copy
-  /// that lags. It proves nothing, and what has gone stays gone.
-  Millis onStale(Lane &By, const KeyedPage &Page, StorePosition Known) {
+  /// The response is older than what this node knows, e.g. from a replica that
+  /// lags. It proves nothing and brings nothing back that was removed.
+  Millis onStale(Connection &Link, const KeyedPage &Page, StorePosition Known) {
     this->Board.Log.emit(EventCode::LogStale, std::string(feedName(this->Kind)),
                          LogFields()
                              .add("offset", Page.Next.At.Value)
                              .add("known", Known.At.Value)
                              .add("era", Page.Next.Era.Value));
-    return By.Waits.next();
+    return Link.RetryBackoff.next();
   }
 
-  void onAnswer(KeyedPage &Page, TimePoint SentAt, TimePoint Now) {
+  void onSuccess(KeyedPage &Page, TimePoint SentAt, TimePoint Now) {
     std::lock_guard Lock(this->Mutex);
     this->Board.state(this->Kind).ReadFailed = false;
     if (!std::exchange(this->Up, true))
       this->Board.Log.emit(EventCode::LogReachable,
                            std::string(feedName(this->Kind)));
-    // Nobody had a proof for so long: entries may have lapsed meanwhile. Or the
-    // store came back without those that were written since its copy.
+    // Entries may have lapsed while no node had a proof, or were written after
+    // the copy from which the store was restored.
     TimePoint Proven = this->Cache.provenAt();
-    bool Away = Proven != TimePoint() && SentAt - Proven > FeedCache::AwayGap;
+    bool WasAway =
+        Proven != TimePoint() && SentAt - Proven > FeedCache::AwayGap;
     std::optional<StorePosition> Known = this->Cache.next();
     bool Restored = Known && Page.Next.Era > Known->Era;
-    if (Away || Restored)
+    if (WasAway || Restored)
       Page.HoldUntil = Now + FeedCache::LapseTime;
     applyFeedPage(this->Board, this->Kind, Page, "store", Now);
     this->Board.state(this->Kind).OwnProof.raise(Page.ProvenAt);
@@ -323,19 +322,18 @@
   EntryBoard &Board;
   FeedCache &Cache;
   const FeedKind Kind;
-  const TimePoint Began = SystemClock{}.now();
-  Lane Turn;
-  Lane Spare;
-  /// From when on the call of step() counts as hanging where what is known is
-  /// too old, as a count of TimePoint; NoCall where none is under way. Its wait
-  /// is chosen so that its answer comes before that age.
-  std::atomic<std::int64_t> HangsFrom{NoCall};
-  /// The store's, as one of the connections has seen it.
+  const TimePoint StartTime = SystemClock{}.now();
+  Connection Main;
+  Connection Backup;
+  /// Time from which the call of step() counts as hanging, as a count of
+  /// TimePoint; NoCall if none is in progress.
+  std::atomic<std::int64_t> HangsSince{NoCall};
+  /// Newest era of the store that one of the connections has seen.
   std::atomic<std::uint64_t> NewEra{0};
-  /// Until then a neighbour may tell all of the feed in that era, as a count of
-  /// TimePoint.
-  std::atomic<std::int64_t> WholeDue{0};
-  /// Guards what follows.
+  /// Until when this node waits for another one to send the whole feed of that
+  /// era, as a count of TimePoint.
+  std::atomic<std::int64_t> FullPageDue{0};
+  /// Guards Up.
   std::mutex Mutex;
   bool Up = true;
 };
--- a/tests/unit/config_follower_test.cpp
+++ b/tests/unit/config_follower_test.cpp
@@ -2,10 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Which configuration is in force, and whether its keys may be used, where the
-// store comes back from a copy that has an older one. What was in force has to
-// stay, and what operators may have published since nobody can know from the
-// copy: it proves nothing of keys until they have written again.
+// Which configuration is in force, and whether its keys are proven, after the
+// store was restored from a copy with an older one.
 #include "control/cached_feed.h"
 #include "control/config_follower.h"
 #include "support/times.h"
@@ -16,7 +14,7 @@
 
 namespace {
 
-/// Keys are used for \p RevokeBound less a margin after the last proof.
+/// Keys may be used for \p RevokeBound less a margin after the last proof.
 Settings entrySettings(Millis RevokeBound) {
   Settings Config;
   Config.Node = NodeId("n1");
@@ -27,10 +25,10 @@
 }
 
 constexpr Millis ShortBound(300);
-/// Longer than operators usually take to write again.
+/// Longer than the time that operators have to write again.
 constexpr Millis LongBound = FeedCache::LapseTime + Millis(500);
 
-/// A value is its version.
+/// Parses a value that is a version number.
 struct VersionDecoder {
   static constexpr const char *Key = "config";
   absl::StatusOr<RoutingConfig> operator()(const std::string &Value) const {
@@ -42,8 +40,8 @@
 
 } // namespace
 
-struct ConfigFollowFixture {
-  explicit ConfigFollowFixture(Millis RevokeBound = ShortBound)
+struct ConfigFollowerFixture {
+  explicit ConfigFollowerFixture(Millis RevokeBound = ShortBound)
       : Board(entrySettings(RevokeBound), IncarnationId("i")) {}
 
   /// The store's feed ends at \p Next in its era \p Era and shows \p Version.
@@ -61,82 +59,78 @@
     this->cache().take(pageOf(Version, Next, Era), SystemClock{}.now());
     this->Follower.step();
   }
-  void hear(const EraMarks &Told) {
-    this->cache().hear(Told, SystemClock{}.now());
+  void receive(const EraMarks &Marks) {
+    this->cache().hear(Marks, SystemClock{}.now());
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Config); }
-  /// Zero where none is.
+  /// Version in force; zero if there is none.
   std::uint64_t inForce() {
     return this->Board.Routing.read(
         [](const RoutingConfigRef &Row) { return Row ? Row->Version : 0; });
   }
-  bool mayUseKeys() {
+  bool keysProven() {
     return this->Board.ConfigFresh.holds(SystemClock{}.now());
   }
-  void waitOutProof() { std::this_thread::sleep_for(ShortBound); }
+  void waitForExpiry() { std::this_thread::sleep_for(ShortBound); }
 
   EntryBoard Board;
   CachedFeed Feed{Board.feed(FeedKind::Config)};
   ConfigFollower<CachedFeed, VersionDecoder> Follower{Board, Feed, {}};
 };
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: the store came back with an older version: the newer "
                  "one stays, and its keys are not proven",
                  "[unit]") {
   this->show(19, 7, 0);
-  REQUIRE(this->mayUseKeys());
-  this->waitOutProof();
+  REQUIRE(this->keysProven());
+  this->waitForExpiry();
   this->show(6, 3, 1);
   CHECK(this->inForce() == 19);
-  CHECK_FALSE(this->mayUseKeys());
-  // Operators write some of it again, in order: not all yet.
+  CHECK_FALSE(this->keysProven());
+  // Operators have written only a part of the versions again.
   this->show(15, 4, 1);
   CHECK(this->inForce() == 19);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   this->show(22, 5, 1);
   CHECK(this->inForce() == 22);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-// It may have lost one that took a key away, and that this node had not seen.
-TEST_CASE_METHOD(ConfigFollowFixture,
+// Guards against keys whose revocation the restore lost.
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: the store came back with the version in force: its "
                  "keys are proven when operators could have written again",
                  "[unit]") {
   this->show(19, 7, 0);
-  this->waitOutProof();
+  this->waitForExpiry();
   this->show(19, 6, 1);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   std::this_thread::sleep_for(FeedCache::LapseTime);
   this->show(19, 6, 1);
-  CHECK(this->mayUseKeys());
-  // Written again as it was, after another restore that had lost it.
-  this->waitOutProof();
+  CHECK(this->keysProven());
+  // The same version is written again after another restore that lost it.
+  this->waitForExpiry();
   this->show(15, 5, 2);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   this->show(19, 6, 2);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: the store came back with the version in force, and a "
                  "newer one is written: its keys are proven at once",
                  "[unit]") {
   this->show(19, 7, 0);
-  this->waitOutProof();
+  this->waitForExpiry();
   this->show(19, 6, 1);
   this->show(22, 7, 1);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-// Operators publish when they have something to publish, which may be minutes
-// after the store came back sound: nearly all requests were refused until then.
-// What the copy lacks is known here, but for what operators published in the
-// last moment before the store went away. For that they have the time that a
-// key which was taken away may be in use anyway.
-struct LongBoundFixture : ConfigFollowFixture {
-  LongBoundFixture() : ConfigFollowFixture(LongBound) {}
+// Guards against refusing requests with keys until operators publish again.
+struct LongBoundFixture : ConfigFollowerFixture {
+  LongBoundFixture() : ConfigFollowerFixture(LongBound) {}
 };
 
 TEST_CASE_METHOD(LongBoundFixture,
@@ -149,33 +143,33 @@
   this->show(6, 3, 1);
   std::this_thread::sleep_for(FeedCache::LapseTime);
   this->show(6, 3, 1);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   std::this_thread::sleep_for(LongBound - FeedCache::LapseTime);
   this->show(6, 3, 1);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
   CHECK(this->inForce() == 19);
-  // A node that starts does not know the newer one: it has to wait for
-  // operators to write.
+  // A node that starts does not know the newer version and has to wait for
+  // operators.
   CHECK_FALSE(this->cache().settledEra());
   CHECK_FALSE(this->cache().marks().Versions.Settled);
 }
 
 TEST_CASE_METHOD(
-    ConfigFollowFixture,
+    ConfigFollowerFixture,
     "config: a node starts long after a restore, as others tell it: "
     "its keys are proven at once",
     "[unit]") {
-  KeyedPage Told = pageOf(22, 5, 1);
-  Told.Versions.Before = ValueVersion(19);
-  Told.Versions.Settled = true;
-  this->cache().take(Told, SystemClock{}.now());
+  KeyedPage Page = pageOf(22, 5, 1);
+  Page.Versions.Before = ValueVersion(19);
+  Page.Versions.Settled = true;
+  this->cache().take(Page, SystemClock{}.now());
   this->Follower.step();
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-// It lived through the restore, and waits for operators itself.
+// The other node waits for operators itself.
 TEST_CASE_METHOD(
-    ConfigFollowFixture,
+    ConfigFollowerFixture,
     "config: a node starts during a restore, and another one tells "
     "it what was in force before: that proves no keys yet",
     "[unit]") {
@@ -186,11 +180,11 @@
   Other.take(pageOf(19, 6, 2), SystemClock{}.now());
   this->cache().hear(Other.marks(), SystemClock{}.now());
   this->Follower.step();
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
 }
 
-// What operators wrote in that time it could not see.
-TEST_CASE_METHOD(ConfigFollowFixture,
+// Guards against counting time in which the store could not be read.
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: a node starts after a restore and loses the store "
                  "while it waits for operators: its wait proves no keys",
                  "[unit]") {
@@ -199,81 +193,81 @@
   this->show(19, 6, 1);
   std::this_thread::sleep_for(Millis(100));
   this->Follower.step();
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   this->show(19, 6, 1);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-// What the other node was shown, and this one was not, may take keys away.
-TEST_CASE_METHOD(ConfigFollowFixture,
+// Guards against keys that the version seen by the other node revokes.
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: another node has seen operators write again: a proof "
                  "of before proves no keys, a later one does",
                  "[unit]") {
   this->show(19, 7, 0);
-  this->waitOutProof();
+  this->waitForExpiry();
   this->show(19, 6, 1);
-  this->hear({StoreEra(1), {ValueVersion(22), ValueVersion(19), true}});
+  this->receive({StoreEra(1), {ValueVersion(22), ValueVersion(19), true}});
   this->Follower.step();
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   this->show(22, 7, 1);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: two restores before operators write again: what the "
                  "first one lost is still missed",
                  "[unit]") {
   this->show(19, 7, 0);
   this->show(6, 3, 1);
   this->show(6, 3, 2);
-  this->waitOutProof();
+  this->waitForExpiry();
   this->show(15, 4, 2);
   CHECK(this->inForce() == 19);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
 }
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: a node that starts learns that a newer version was "
                  "in force: the copy's is not",
                  "[unit]") {
   this->show(6, 3, 1);
   REQUIRE(this->inForce() == 6);
-  // Another node asks, which knew version 19 before the restore.
-  this->hear({StoreEra(1), {ValueVersion(6), ValueVersion(19)}});
+  // A request of another node shows that version 19 was in force before.
+  this->receive({StoreEra(1), {ValueVersion(6), ValueVersion(19)}});
   this->Follower.step();
   CHECK(this->inForce() == 0);
-  CHECK_FALSE(this->mayUseKeys());
+  CHECK_FALSE(this->keysProven());
   this->show(15, 4, 1);
   CHECK(this->inForce() == 0);
   this->show(22, 5, 1);
   CHECK(this->inForce() == 22);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: a node that has not seen the restore yet asks: what "
                  "it knows was in force before",
                  "[unit]") {
   this->show(6, 3, 1);
-  this->hear({StoreEra(0), {ValueVersion(19), ValueVersion()}});
+  this->receive({StoreEra(0), {ValueVersion(19), ValueVersion()}});
   this->Follower.step();
   CHECK(this->inForce() == 0);
-  // One that is ahead of this node says nothing of this node's era.
+  // Marks of a later era say nothing of this node's era.
   this->show(22, 5, 1);
-  this->hear({StoreEra(2), {ValueVersion(22), ValueVersion(90)}});
+  this->receive({StoreEra(2), {ValueVersion(22), ValueVersion(90)}});
   this->Follower.step();
   CHECK(this->inForce() == 22);
 }
 
-TEST_CASE_METHOD(ConfigFollowFixture,
+TEST_CASE_METHOD(ConfigFollowerFixture,
                  "config: another node is ahead, and the store lost nothing: "
                  "what is in force stays",
                  "[unit]") {
   this->show(19, 7, 0);
-  this->hear({StoreEra(0), {ValueVersion(22), ValueVersion()}});
+  this->receive({StoreEra(0), {ValueVersion(22), ValueVersion()}});
   this->Follower.step();
   CHECK(this->inForce() == 19);
-  CHECK(this->mayUseKeys());
+  CHECK(this->keysProven());
 }
 
 } // namespace waycove::test
--- a/tests/unit/domain_owner_test.cpp
+++ b/tests/unit/domain_owner_test.cpp
@@ -2,9 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// An owner of domains where the store comes back from an older copy: the
-// generations of shared work go back and are dealt out again, and the copy may
-// give a domain to two nodes for as long as a lease runs.
+// An owner of domains after the store was restored from an older copy, which
+// reuses generations and may assign a domain to two nodes for one lease.
 #include "control/domain_owner.h"
 #include "support/times.h"
 
@@ -14,29 +13,29 @@
 
 namespace {
 
-constexpr std::uint64_t AllParts = 12;
+constexpr std::uint64_t AllPartitions = 12;
 
-/// Shared work of which this node is dealt everything.
-struct FakeShares {
+/// A partition service that assigns everything to this node.
+struct FakePartitioner {
   absl::StatusOr<PartitionAssignment> join(std::uint64_t Generation, Millis) {
-    this->Heard = Generation;
-    return this->Dealt;
+    this->ReportedGeneration = Generation;
+    return this->Assigned;
   }
   void leave() {}
 
-  PartitionAssignment Dealt;
-  std::uint64_t Heard = 0;
+  PartitionAssignment Assigned;
+  std::uint64_t ReportedGeneration = 0;
 };
 
-/// Targets that take every order; one of a smaller fence than they have seen
-/// is refused, as the platform's do.
+/// Targets that accept every order, but refuse one with a smaller fence than
+/// they have seen.
 struct FakeControl {
   OrderOutcome order(const GroupOrder &Order, std::uint64_t Fence) {
     std::lock_guard Lock(this->Mutex);
-    if (Fence < this->Newest)
+    if (Fence < this->NewestFence)
       return OrderOutcome::Fenced;
-    this->Newest = Fence;
-    ++this->Taken;
+    this->NewestFence = Fence;
+    ++this->Accepted;
     this->Epoch = std::max(this->Epoch, Order.Group.Epoch);
     return OrderOutcome::Accepted;
   }
@@ -44,22 +43,22 @@
   Reachability probe(const TargetInfo &) { return Reachability::Reachable; }
 
   std::mutex Mutex;
-  std::uint64_t Newest = 0;
+  std::uint64_t NewestFence = 0;
   std::uint64_t Epoch = 0;
-  int Taken = 0;
+  int Accepted = 0;
 };
 
 Settings entrySettings() {
-  Settings Given;
-  Given.Node = NodeId("n");
-  Given.DataCentre = DataCentreId("c");
-  Given.Entry.emplace();
-  return Given;
+  Settings Config;
+  Config.Node = NodeId("n");
+  Config.DataCentre = DataCentreId("c");
+  Config.Entry.emplace();
+  return Config;
 }
 
 } // namespace
 
-/// The owner of a domain of two free VMs, which make one group.
+/// The owner of a domain with two free VMs, enough for one group.
 struct OwnerFixture {
   OwnerFixture() : Board(entrySettings(), IncarnationId("i")) {
     auto Config = std::make_shared<RoutingConfig>();
@@ -75,8 +74,8 @@
     this->Board.Nodes.write([&](NodeTable &Rows) {
       Rows[this->Board.Config.Node] = this->Board.self();
     });
-    for (std::uint64_t Part = 0; Part < AllParts; ++Part)
-      this->Shares.Dealt.Partitions.push_back(Part);
+    for (std::uint64_t Partition = 0; Partition < AllPartitions; ++Partition)
+      this->Partitioner.Assigned.Partitions.push_back(Partition);
   }
   /// The registry, as of the store's era \p Era.
   void list(std::uint64_t Era) {
@@ -95,29 +94,29 @@
     this->Board.RegistryFresh.renew(SystemClock{}.now(), Millis(60000));
   }
   void deal(std::uint64_t Era, std::uint64_t Generation) {
-    this->Shares.Dealt.Era = StoreEra(Era);
-    this->Shares.Dealt.Generation = Generation;
+    this->Partitioner.Assigned.Era = StoreEra(Era);
+    this->Partitioner.Assigned.Generation = Generation;
     this->Owner.renewLease();
   }
-  /// Renews the lease and plans for \p Time, or until targets took an order;
-  /// whether they did. Meanwhile the registry is read, or \p NothingRead.
-  bool plan(Millis Time, bool NothingRead = false) {
-    int Before = this->Targets.Taken;
+  /// Renews the lease and plans for \p Time or until targets accept an order;
+  /// returns whether they did. The registry is read meanwhile unless \p Unread.
+  bool plan(Millis Time, bool Unread = false) {
+    int Before = this->Targets.Accepted;
     for (TimePoint End = SystemClock{}.now() + Time;
-         SystemClock{}.now() < End && this->Targets.Taken == Before;) {
-      if (!NothingRead)
+         SystemClock{}.now() < End && this->Targets.Accepted == Before;) {
+      if (!Unread)
         this->Board.RegistryProven.raise(SystemClock{}.now());
       this->Owner.renewLease();
       this->Owner.step();
       std::this_thread::sleep_for(Millis(50));
     }
-    return this->Targets.Taken > Before;
+    return this->Targets.Accepted > Before;
   }
 
   EntryBoard Board;
-  FakeShares Shares;
+  FakePartitioner Partitioner;
   FakeControl Targets;
-  DomainOwner<FakeShares, FakeControl> Owner{Board, Shares, Targets};
+  DomainOwner<FakePartitioner, FakeControl> Owner{Board, Partitioner, Targets};
 };
 
 TEST_CASE_METHOD(OwnerFixture,
@@ -127,12 +126,12 @@
   this->list(0);
   this->deal(0, 12);
   REQUIRE(this->plan(Millis(5000)));
-  std::uint64_t Fence = this->Targets.Newest;
+  std::uint64_t Fence = this->Targets.NewestFence;
   std::uint64_t Epoch = this->Targets.Epoch;
   this->list(1);
   this->deal(1, 10);
   CHECK(this->plan(Millis(6000)));
-  CHECK(this->Targets.Newest > Fence);
+  CHECK(this->Targets.NewestFence > Fence);
   CHECK(this->Targets.Epoch > Epoch);
 }
 
@@ -144,7 +143,7 @@
   this->deal(0, 12);
   REQUIRE(this->plan(Millis(5000)));
   this->list(1);
-  // The copy may have given this domain to another node, or this one's to it.
+  // The copy may assign a domain whose previous owner still holds its lease.
   this->deal(1, 13);
   CHECK_FALSE(this->plan(Millis(1700)));
 }
@@ -156,15 +155,15 @@
   this->list(0);
   this->deal(0, 12);
   REQUIRE(this->plan(Millis(5000)));
-  REQUIRE(this->Shares.Heard == 12);
+  REQUIRE(this->Partitioner.ReportedGeneration == 12);
   KeyedPage Page;
   Page.Whole = true;
   Page.Next = atOffset(3, 1);
   this->Board.feed(FeedKind::Registry).take(Page, SystemClock{}.now());
   this->deal(1, 10);
-  CHECK(this->Shares.Heard == 0);
+  CHECK(this->Partitioner.ReportedGeneration == 0);
   this->deal(1, 11);
-  CHECK(this->Shares.Heard == 10);
+  CHECK(this->Partitioner.ReportedGeneration == 10);
 }
 
 TEST_CASE_METHOD(OwnerFixture,
@@ -178,8 +177,7 @@
   CHECK(this->plan(Millis(3000)));
 }
 
-// After a suspension time has passed, and no news of the last owner's orders
-// came.
+// Guards against planning after a suspension with an outdated registry.
 TEST_CASE_METHOD(OwnerFixture,
                  "domain owner: nothing was read since it got the domain: "
                  "nothing is ordered until then",
--- a/tests/unit/domain_views_test.cpp
+++ b/tests/unit/domain_views_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What an owner is shown of its domains and of the others.
+// Views of the owned domains and what they hold of other domains.
 #include "control/domain_views.h"
 #include "policy/domain_outlook.h"
 #include "support/times.h"
@@ -11,7 +11,8 @@
 
 namespace waycove::test {
 
-/// A service with a large and a small model, owned whole by this node.
+/// A service with a large and a small model, all of whose domains this node
+/// owns.
 struct ViewsFixture {
   ViewsFixture() : Board(entrySettings(), IncarnationId("i")) {
     ServiceSpec Spec;
@@ -24,14 +25,14 @@
       Spec.Engine->Models.push_back(Model);
     }
     this->Config.Services[Spec.Id] = Spec;
-    for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
-         ++Part)
-      this->Mine.Partitions.push_back(Part);
+    for (std::uint64_t Partition = 0;
+         Partition < this->Board.Config.Entry->WorkParts; ++Partition)
+      this->Assignment.Partitions.push_back(Partition);
   }
   static Settings entrySettings() {
-    Settings Given;
-    Given.Entry.emplace();
-    return Given;
+    Settings Config;
+    Config.Entry.emplace();
+    return Config;
   }
   std::shared_ptr<TargetInfo> vm(const std::string &Domain,
                                  const std::string &Staged = "large") {
@@ -47,7 +48,7 @@
     this->Board.Targets.write(
         [&](Fleet &Rows) { Rows.Targets[Row->Id] = Row; });
   }
-  /// \p Size members, of which \p Lost went.
+  /// A group of \p Size members, of which \p Lost are missing.
   void group(const std::string &Domain, const std::string &Model, unsigned Size,
              unsigned Lost = 0) {
     GroupKey Key{groupName(Model, DomainId(Domain), 7), 7};
@@ -59,11 +60,11 @@
     }
   }
   std::map<DomainId, DomainView> views() {
-    return ownedDomains(this->Board, this->Config, this->Mine, at(0));
+    return ownedDomains(this->Board, this->Config, this->Assignment, at(0));
   }
   EntryBoard Board;
   RoutingConfig Config;
-  PartitionAssignment Mine;
+  PartitionAssignment Assignment;
   int Vms = 0;
 };
 
@@ -85,12 +86,12 @@
                  "domain views: other domains lost members: what they make of "
                  "the rest is counted, and what those before do",
                  "[unit]") {
-  // Three are left of four, beside a small group whose hosts help.
+  // Three of four members remain, beside a small group whose VMs can be used.
   for (const char *Domain : {"a", "b", "c"}) {
     this->group(Domain, "large", 4, 1);
     this->group(Domain, "small", 2);
   }
-  // Enough loose ones for a large group.
+  // Enough free VMs for a large group.
   for (int I = 0; I < 4; ++I)
     this->list(this->vm("d"));
   std::map<DomainId, DomainView> Views = this->views();
