--- a/tests/unit/load_budget_test.cpp
+++ b/tests/unit/load_budget_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// How many loads an owner of domains may order.
+// Rate limit of the loads that an owner of domains orders.
 #include "control/load_budget.h"
 #include "support/times.h"
 
@@ -10,8 +10,8 @@
 
 namespace waycove::test {
 
-/// A node that is dealt half of the work, with a store that takes a few loads
-/// in a second.
+/// A node that is assigned half of the partitions, with a platform limit of a
+/// few loads per second.
 struct BudgetFixture {
   BudgetFixture() : Board(entrySettings(), IncarnationId("i")) {
     ModelSpec Model;
@@ -23,9 +23,9 @@
     this->Board.Share = 0.5;
   }
   static Settings entrySettings() {
-    Settings Given;
-    Given.Entry.emplace();
-    return Given;
+    Settings Config;
+    Config.Entry.emplace();
+    return Config;
   }
   void load(int Ms) {
     GroupOrder Order;
@@ -45,13 +45,13 @@
   CHECK(this->Budget.allowed(3, this->Engine, at(0)) == 3);
   for (int I = 0; I < 8; ++I)
     this->load(0);
-  // Half of four a second.
+  // Half of four per second.
   CHECK(this->Budget.allowed(6, this->Engine, at(100)) == 2);
   this->load(200);
   this->load(300);
   CHECK(this->Budget.allowed(6, this->Engine, at(400)) == 0);
   CHECK(this->Budget.allowed(6, this->Engine, at(5100)) == 6);
-  // However small its part: as many as run at full speed.
+  // With a small part, as many as run at full speed.
   this->Board.Share = 0.01;
   CHECK(this->Budget.allowed(9, this->Engine, at(5400)) == 6);
   this->load(5400);
@@ -61,9 +61,9 @@
 TEST_CASE_METHOD(BudgetFixture,
                  "load budget: a first start, no request yet: not bounded",
                  "[unit]") {
-  Settings Given = entrySettings();
-  Given.Entry->FirstStart = true;
-  EntryBoard First(Given, IncarnationId("i"));
+  Settings Config = entrySettings();
+  Config.Entry->FirstStart = true;
+  EntryBoard First(Config, IncarnationId("i"));
   LoadBudget Free(First);
   CHECK(Free.allowed(0, this->Engine, at(0)) == FreeLoads);
   First.Requested = true;
--- a/tests/unit/member_prober_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What an owner of domains concludes of members that do not answer.
+// Detection of dead members of groups.
 #include "control/member_prober.h"
 #include "support/times.h"
 
@@ -12,28 +12,28 @@
 
 namespace {
 
-/// Targets of which only those named answer.
+/// Targets that respond unless listed here.
 struct FakeControl {
   OrderOutcome order(const GroupOrder &, std::uint64_t) {
     return OrderOutcome::Accepted;
   }
   MemberFate queryStatus(const TargetInfo &) { return MemberFate::Unknown; }
   Reachability probe(const TargetInfo &Target) {
-    if (this->Ended.contains(Target.Id))
+    if (this->Restarted.contains(Target.Id))
       return Reachability::ProcessEnded;
-    return this->Silent.contains(Target.Id) ? Reachability::Unresponsive
-                                            : Reachability::Reachable;
+    return this->Unresponsive.contains(Target.Id) ? Reachability::Unresponsive
+                                                  : Reachability::Reachable;
   }
-  std::set<VmId> Silent;
-  /// In their place, another process answers.
-  std::set<VmId> Ended;
+  std::set<VmId> Unresponsive;
+  /// Another process responds at their address.
+  std::set<VmId> Restarted;
 };
 
 } // namespace
 
-/// A domain of three VMs, of which two make a group.
-struct InquiryFixture {
-  InquiryFixture() : Board(Settings(), IncarnationId("i")) {
+/// A domain of three VMs, where a group needs two.
+struct ProberFixture {
+  ProberFixture() : Board(Settings(), IncarnationId("i")) {
     ModelSpec Model;
     Model.Name = "m";
     Model.GroupSize = 2;
@@ -49,11 +49,11 @@
     }
     this->View.LoadsAllowed = FreeLoads;
   }
-  /// A planning step at \p Ms; who is told to join.
+  /// Plans once at \p Ms; returns the targets that are ordered to join.
   std::vector<std::string> joins(int Ms) {
     this->View.Now = at(Ms);
     this->View.Lost.clear();
-    this->Members.detectLost(this->View);
+    this->Prober.detectLost(this->View);
     std::vector<std::string> Ids;
     for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
       if (Row.Kind == OrderKind::Join)
@@ -63,20 +63,20 @@
 
   EntryBoard Board;
   FakeControl Control;
-  MemberProber<FakeControl> Members{this->Board, this->Control};
+  MemberProber<FakeControl> Prober{this->Board, this->Control};
   EngineSpec Engine;
   DomainView View;
   DomainPlanner Planner;
 };
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: one is not reached by its order: the next group is "
                  "formed of others at once",
                  "[unit]") {
   this->joins(0);
   REQUIRE(this->joins(800) == std::vector<std::string>{"a", "b"});
-  this->Members.markUnreachable({VmId("b"), {}}, at(900));
-  // The order to the other one got through, and shows in the registry.
+  this->Prober.markUnreachable({VmId("b"), {}}, at(900));
+  // The order to the other target was delivered and shows in the registry.
   auto Joined = std::make_shared<TargetInfo>(*this->View.Targets[0]);
   Joined->Group = Membership{
       {groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Joining};
@@ -90,19 +90,19 @@
   CHECK(this->joins(1100) == std::vector<std::string>{"a", "c"});
 }
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: one was not reached once: it is used again later",
                  "[unit]") {
-  this->Members.markUnreachable({VmId("b"), {}}, at(0));
+  this->Prober.markUnreachable({VmId("b"), {}}, at(0));
   this->joins(0);
   CHECK(this->joins(800) == std::vector<std::string>{"a", "c"});
   this->View.Now = at(8000);
   this->View.Lost.clear();
-  this->Members.detectLost(this->View);
+  this->Prober.detectLost(this->View);
   CHECK(this->View.Lost.empty());
 }
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: a head refuses, having started again behind a cut: "
                  "taken for dead at the first question, its new life not",
                  "[unit]") {
@@ -112,13 +112,13 @@
       Membership{{groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Open};
   this->View.Targets[0] = Head;
   this->View.Now = at(0);
-  this->Control.Ended.insert(Head->Id);
-  this->Members.detectLost(this->View);
+  this->Control.Restarted.insert(Head->Id);
+  this->Prober.detectLost(this->View);
   REQUIRE(this->View.Lost.empty());
   this->Board.Vitals.write([&](VitalsTable &Rows) {
     Rows.suspect(Head->life(), at(0), Millis(3000));
   });
-  this->Members.detectLost(this->View);
+  this->Prober.detectLost(this->View);
   CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
   CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
 }
--- a/tests/unit/news_test.cpp
+++ b/tests/unit/news_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What entries tell each other: feeds with their proofs, what they see of
-// targets, and who reads for whom.
+// What nodes exchange: feeds with their proofs and observations of targets, and
+// how upstream nodes are selected.
 #include "policy/choice.h"
 #include "policy/connections.h"
 #include "policy/node_rank.h"
@@ -48,7 +48,7 @@
 
 } // namespace
 
-/// A cache that took a whole page, and then changes and a drop.
+/// A cache that applied a whole page, then changes and a deletion.
 struct FeedFixture {
   FeedFixture() {
     this->Cache.take(page(10, {{"a", "1"}, {"b", "1"}}, true), at(0));
@@ -66,7 +66,7 @@
   CHECK(keysOf(this->Cache.whole()) == Keys{"b=2", "c=1"});
 }
 
-/// The cache's feed after the store came back from an older copy of itself.
+/// The cache after the store was restored from an older copy.
 struct RestoredFeedFixture : FeedFixture {
   static KeyedPage pageOfEra(std::uint64_t Next,
                              std::vector<KeyedRecord> Records, bool Whole) {
@@ -95,14 +95,14 @@
 TEST_CASE_METHOD(RestoredFeedFixture,
                  "feed cache: asked from before the store came back: all of it",
                  "[unit]") {
-  // The offset stands for other records now.
+  // The same offset denotes other records in the new era.
   for (std::uint64_t From : {5, 11, 13, 90}) {
     KeyedPage Page = this->Cache.since(atOffset(From));
     CHECK(Page.Whole);
     CHECK(keysOf(Page) == Keys{"b=1", "d=1"});
   }
-  // Who has read the copy itself is told what changed since, also where that
-  // is what this node knew before.
+  // A node that has read the copy gets what changed since, even if this node
+  // knew the value before.
   this->Cache.take(pageOfEra(12, {{"b", "2", atOffset(12, 1)}}, false), at(30));
   CHECK(keysOf(this->Cache.since(atOffset(11, 1))) == Keys{"b=2"});
 }
@@ -149,7 +149,7 @@
     CHECK(Other.next() == this->Cache.next());
     CHECK(keysOf(Other.whole()) == keysOf(this->Cache.whole()));
   }
-  // A later question of another node is answered as the first node would.
+  // A later request gets the same response from either node.
   CHECK(keysOf(Other.since(atOffset(22, 1))) ==
         keysOf(this->Cache.since(atOffset(22, 1))));
   CHECK(Other.since(atOffset(22)).Whole);
@@ -179,7 +179,7 @@
   CHECK(keysOf(this->Cache.since(atOffset(13))) == Keys{"d=1"});
   CHECK(keysOf(this->Cache.since(atOffset(10))) ==
         Keys{"a-", "b=2", "c=1", "d=1"});
-  // Changed and back again within what was not seen: the same to all.
+  // A value that changed and changed back unseen counts as unchanged.
   this->Cache.take(page(22, {{"c", "9"}}), at(0));
   this->Cache.take(page(30, {{"b", "2"}, {"c", "1"}, {"d", "1"}}, true), at(0));
   CHECK(keysOf(this->Cache.since(atOffset(20))) == Keys{"c=1"});
@@ -213,22 +213,19 @@
   KeyedPage Own = page(13, {});
   Own.ProvenAt = at(8800);
   this->Cache.take(Own, at(9900));
-  // A neighbour had lost the store until 10,000.
+  // Another node had lost the store until 10,000.
   KeyedPage Told = page(14, {{"b", std::nullopt}});
   Told.ProvenAt = at(10000);
   Told.HoldUntil = at(10000) + FeedCache::LapseTime;
   this->Cache.take(Told, at(10100));
   CHECK(this->Cache.since(atOffset(13)).HoldUntil == TimePoint());
-  // Without such a proof, lapsed entries may be back until then.
+  // Without such a proof, lapsed entries may come back until then.
   FeedFixture Other;
   Other.Cache.take(Told, at(10100));
   CHECK(Other.Cache.since(atOffset(13)).HoldUntil == Told.HoldUntil);
 }
 
-// A reader restarts, and a node that reads through it knows the feed from
-// before: the reader never saw the drops in between, and told of none. A target
-// that had left stayed in use at that node until it read all of the registry
-// again.
+// Guards against deletions that an upstream node missed while it restarted.
 TEST_CASE("feed cache: a node has just started: one that is behind it learns "
           "what went before that",
           "[unit]") {
@@ -268,7 +265,7 @@
   CHECK(Parts == 12);
   CHECK(Behind.next() == Reader.next());
   CHECK(keysOf(Behind.whole()) == keysOf(Reader.whole()));
-  // What it knows it passes on in parts as well.
+  // It passes on what it knows in parts as well.
   CHECK(Behind.since(atOffset(1), 1000).Partial);
 }
 
@@ -296,7 +293,7 @@
   KeyedPage Page = page(7, {{"a", "1"}, {"b", std::nullopt}});
   Page.ProvenAt = at(100);
   Page.HoldUntil = at(900);
-  // The other process' clock is 5 s ahead; the question left at 5,350 there.
+  // The other process' clock is 5 s ahead; its request was sent at 5,350.
   FeedPacker Packer;
   KeyedPage Got =
       *readFeed(*Packer.pack(Page, atOffset(), at(400)), at(5350), at(5410));
@@ -319,7 +316,7 @@
   CHECK_FALSE(unpackNode("").ok());
 }
 
-/// The book of a node to which others tell what they see of one head.
+/// Reports of other nodes on the load of one head.
 struct LoadFixture {
   static LoadRows rows(unsigned InFlight, unsigned Answering, int SilentMs) {
     TargetLoad Load;
@@ -342,7 +339,7 @@
       this->Book.downward(rows(1, 0, 0), NodeId("a"), at(10))[Head].InFlight ==
       14);
   CHECK(this->Book.others(at(10))[Head].InFlight == 15);
-  // Another data centre is not told what it said itself.
+  // A data centre does not get its own report back.
   CHECK(this->Book.upward(rows(1, 0, 0), at(10))[Head].InFlight == 6);
 }
 
@@ -373,11 +370,11 @@
   Vitals.takeNews({{hashOf(Head), Load}}, at(0));
   CHECK(Vitals.standsStill(Head, at(100)));
   CHECK(Vitals.silence(Head, at(100)) == Millis(600));
-  // What moves here shows that it is the other nodes that are cut off.
+  // Progress here shows that the other nodes are the ones cut off.
   Vitals.onStart(Head, 10, at(50));
   Vitals.onFirstByte(Head, at(50), 10, at(90));
   CHECK_FALSE(Vitals.standsStill(Head, at(100)));
-  // Old news say nothing.
+  // Old reports do not count.
   CHECK(Vitals.silence({VmId("head2"), {}}, at(100)) == Millis(0));
   CHECK(Vitals.elsewhere(Head, at(3000)) == nullptr);
 }
@@ -389,7 +386,7 @@
   VmLife Head{VmId("head"), {}};
   TargetHash Hash(hashText("head"));
   TargetLoad Load;
-  // Whoever had answers under way there has left; it would look idle.
+  // Other nodes no longer use the target, so it would look idle.
   Load.Suspect = Millis(3000);
   Vitals.takeNews({{Hash, Load}}, at(0));
   CHECK(Vitals.isSuspect(Head, at(100)));
@@ -405,7 +402,7 @@
     Query.Random = mixHash(7, static_cast<std::uint64_t>(I));
     CHECK(chooseTarget(Rows, Vitals, Query)->Target->Id == VmId("other"));
   }
-  // A node that was cut off itself must not take a sound target from all.
+  // Responses in progress outweigh the suspicion of a node that was cut off.
   Load.InFlight = Load.Answering = 2;
   Load.Silent = Millis(40);
   Vitals.takeNews({{Hash, Load}}, at(0));
@@ -440,10 +437,10 @@
   std::vector<NodeInfo> All = readersOf(this->Nodes, DataCentreId("a"));
   REQUIRE(All.size() == 3);
   this->Nodes.erase(All[0].Node);
-  std::vector<NodeInfo> Rest = readersOf(this->Nodes, DataCentreId("a"));
-  REQUIRE(Rest.size() == 2);
-  CHECK(Rest[0].Node == All[1].Node);
-  CHECK(Rest[1].Node == All[2].Node);
+  std::vector<NodeInfo> Remaining = readersOf(this->Nodes, DataCentreId("a"));
+  REQUIRE(Remaining.size() == 2);
+  CHECK(Remaining[0].Node == All[1].Node);
+  CHECK(Remaining[1].Node == All[2].Node);
 }
 
 TEST_CASE_METHOD(RankFixture,
@@ -500,7 +497,7 @@
 
 TEST_CASE("news: large records repeat themselves: they go on deflated",
           "[unit]") {
-  // A configuration of 1,130 routes.
+  // A large configuration.
   std::string Value;
   for (int I = 0; I < 1130; ++I)
     Value += R"({"host":"ficu95.example","path_prefix":"/lohu)" +
@@ -515,7 +512,7 @@
   absl::StatusOr<KeyedPage> Got = readFeed(*News, at(30), at(31));
   REQUIRE(Got.ok());
   CHECK(keysOf(*Got) == keysOf(Large));
-  // A newer version, asked for from the same offset, is deflated anew.
+  // A newer version, requested from the same offset, is deflated again.
   KeyedPage Newer = page(21, {{"config", Value + "x"}});
   CHECK(keysOf(*readFeed(*Packer.pack(Newer, atOffset(7), at(22)), at(30),
                          at(31))) == keysOf(Newer));
--- a/tests/unit/node_follower_test.cpp
+++ b/tests/unit/node_follower_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// How a node follows the directory of nodes, and stays listed there.
+// How a node follows the directory of nodes and stays listed there.
 #include "control/node_follower.h"
 #include "support/cluster.h"
 #include "support/times.h"
@@ -13,25 +13,25 @@
 
 namespace {
 
-/// A directory whose next page a test sets; it counts announcements.
+/// A directory whose next page is set by the test; counts announcements.
 struct FakeDirectory {
   absl::StatusOr<KeyedPage> newest() { return this->Page; }
   absl::StatusOr<KeyedPage> follow(StorePosition, Millis) { return this->Page; }
   absl::Status put(const std::string &, const std::string &Value) {
-    ++(Value.empty() ? this->Drops : this->Announcements);
+    ++(Value.empty() ? this->Removals : this->Announcements);
     return absl::OkStatus();
   }
   KeyedPage Page;
   int Announcements = 0;
-  int Drops = 0;
+  int Removals = 0;
 };
 
 Settings settingsOf(const std::string &Node) {
-  Settings Given;
-  Given.Node = NodeId(Node);
-  Given.DataCentre = DataCentreId("a");
-  Given.Entry.emplace();
-  return Given;
+  Settings Config;
+  Config.Node = NodeId(Node);
+  Config.DataCentre = DataCentreId("a");
+  Config.Entry.emplace();
+  return Config;
 }
 
 KeyedRecord announcementOf(const std::string &Node, std::uint64_t Settled = 0) {
@@ -44,9 +44,8 @@
 
 } // namespace
 
-/// A node that read the directory once, found another one there, and announced
-/// itself, since what an earlier life of its process left there names another
-/// address.
+/// A node that read the directory, found another node there, and announced
+/// itself because the entry of its earlier incarnation names another address.
 struct DirectoryFixture {
   DirectoryFixture() : Board(settingsOf("me"), IncarnationId("i")) {
     this->Directory.Page.Records = {announcementOf("me"),
@@ -94,7 +93,7 @@
                  "directory: the store came back without this node's "
                  "announcement: announced anew",
                  "[unit]") {
-  // It was not read back before the restore.
+  // The announcement was not read back before the restore.
   REQUIRE(this->Directory.Announcements == 1);
   this->Directory.Page.Records = {announcementOf("other")};
   this->Directory.Page.Whole = true;
@@ -106,7 +105,7 @@
   CHECK(this->Directory.Announcements == 2);
 }
 
-/// A node that follows the configuration, too.
+/// A node that follows the configuration as well.
 struct SettledFixture : DirectoryFixture {
   void showConfig(std::uint64_t Version, std::uint64_t Next,
                   std::uint64_t Era) {
@@ -142,17 +141,17 @@
   FeedCache &Config = this->Board.feed(FeedKind::Config);
   this->showConfig(6, 3, 2);
   CHECK_FALSE(Config.marks().Versions.Settled);
-  // The copy holds what was noted of an earlier era.
+  // The copy holds an announcement about an earlier era.
   this->Directory.Page.Records = {announcementOf("other", 1)};
   this->Follower.step();
   CHECK_FALSE(Config.marks().Versions.Settled);
   this->Directory.Page.Records = {announcementOf("other", 2)};
   this->Follower.step();
-  // What was proven before it was noted is no better for it.
+  // A proof from before the announcement does not count.
   CHECK_FALSE(Config.marks().Versions.Settled);
   this->showConfig(6, 3, 2);
   CHECK(Config.marks().Versions.Settled);
-  // Nothing is left to be noted.
+  // Nothing more has to be announced.
   CHECK(this->Directory.Announcements == 1);
 }
 
@@ -170,7 +169,7 @@
   Follower.step();
   Follower.step();
   CHECK(Directory.Announcements == 0);
-  // That life had been told to stop; its drop comes late.
+  // The removal by the earlier incarnation comes late.
   Directory.Page.Records = {{"me", std::nullopt}};
   Directory.Page.Whole = false;
   Follower.step();
@@ -197,11 +196,10 @@
   this->Board.Stopping = true;
   this->Follower.step();
   this->Follower.step();
-  CHECK(this->Directory.Drops == 1);
+  CHECK(this->Directory.Removals == 1);
 }
 
-// Nodes that all start at once sent what had been blamed for the end of
-// targets on to three further ones.
+// Guards against nodes that start at once and run a blamed request again.
 TEST_CASE("directory: an announcement blames a content: it is refused here",
           "[unit]") {
   const ContentHash Content(7);
@@ -221,7 +219,7 @@
   }) == CrashBlame::Verdict::Refuse);
 }
 
-// What was learned while the directory was followed was lost with all nodes.
+// Guards against losing new blame when all nodes restart.
 TEST_CASE("directory: a content is newly blamed: the first node announces it",
           "[unit]") {
   EntryBoard Board(settingsOf("me"), IncarnationId("i"));
--- a/tests/unit/registry_follower_test.cpp
+++ b/tests/unit/registry_follower_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What a node makes of the registry's entries: lives under one id, entries
-// that name no target, and what hangs on the life that ended.
+// How a node handles entries of the registry: incarnations under one id,
+// entries that name no target, and restores of the store.
 #include "control/cached_feed.h"
 #include "control/registry_follower.h"
 #include "platform/decode.h"
@@ -18,11 +18,11 @@
 namespace {
 
 Settings entrySettings() {
-  Settings Given;
-  Given.Node = NodeId("n");
-  Given.Entry.emplace();
-  Given.Entry->TargetHeartbeat = Millis(100);
-  return Given;
+  Settings Config;
+  Config.Node = NodeId("n");
+  Config.Entry.emplace();
+  Config.Entry->TargetHeartbeat = Millis(100);
+  return Config;
 }
 
 std::string entryOf(std::uint64_t Born, const std::string &More = "",
@@ -38,7 +38,7 @@
 struct RegistryFixture {
   RegistryFixture() : Board(entrySettings(), IncarnationId("i")) {}
 
-  /// The registry shows \p Records, all there is where \p Whole.
+  /// The registry shows \p Records, which are all that exist if \p Whole.
   void show(const std::vector<KeyedRecord> &Records, bool Whole = false) {
     KeyedPage Page;
     Page.Records = Records;
@@ -48,8 +48,8 @@
     this->Board.feed(FeedKind::Registry).take(Page, Page.ProvenAt);
     this->Follow.step();
   }
-  /// When the listed life of \p Id started; nothing where none is listed.
-  std::optional<std::uint64_t> born(const std::string &Id) {
+  /// Start time of the incarnation that is listed as \p Id, if any.
+  std::optional<std::uint64_t> startOf(const std::string &Id) {
     return this->Board.Targets.read(
         [&](const Fleet &Rows) -> std::optional<std::uint64_t> {
           auto At = Rows.Targets.find(VmId(Id));
@@ -79,7 +79,7 @@
                  "[unit]") {
   this->show({{"i-1", entryOf(100)}}, true);
   this->show({{"i-1", entryOf(200)}});
-  CHECK(this->born("i-1") == 200);
+  CHECK(this->startOf("i-1") == 200);
   CHECK(this->countEvents(EventCode::TargetReborn) == 1);
 }
 
@@ -89,10 +89,10 @@
                  "[unit]") {
   this->show({{"i-1", entryOf(200)}}, true);
   this->show({{"i-1", entryOf(100, R"("domain":"old",)")}});
-  CHECK(this->born("i-1") == 200);
-  // All is read anew, and the newest record of the key is the late one.
+  CHECK(this->startOf("i-1") == 200);
+  // Everything is read again, and the newest record of the key is the late one.
   this->show({{"i-1", entryOf(100, R"("domain":"old",)")}}, true);
-  CHECK(this->born("i-1") == 200);
+  CHECK(this->startOf("i-1") == 200);
   CHECK(this->countEvents(EventCode::RegistryRefused) == 1);
 }
 
@@ -103,8 +103,8 @@
   this->show({{"i-1", entryOf(200)}, {"i-2", entryOf(50)}}, true);
   this->show({{"i-1", std::nullopt}});
   this->show({{"i-1", entryOf(100)}});
-  CHECK(this->born("i-1") == std::nullopt);
-  CHECK(this->born("i-2") == 50);
+  CHECK(this->startOf("i-1") == std::nullopt);
+  CHECK(this->startOf("i-2") == 50);
 }
 
 TEST_CASE_METHOD(RegistryFixture,
@@ -114,11 +114,11 @@
   this->show({{"i-1", entryOf(100)}, {"i-2", entryOf(100)}}, true);
   for (int I = 0; I < 3; ++I)
     this->show({{"i-1", "\xff\xfe"}, {"i-2", entryOf(100)}}, true);
-  CHECK(this->born("i-1") == std::nullopt);
-  CHECK(this->born("i-2") == 100);
+  CHECK(this->startOf("i-1") == std::nullopt);
+  CHECK(this->startOf("i-2") == 100);
   CHECK(this->countEvents(EventCode::RegistryRefused) == 1);
   this->show({{"i-1", entryOf(100)}});
-  CHECK(this->born("i-1") == 100);
+  CHECK(this->startOf("i-1") == 100);
 }
 
 TEST_CASE_METHOD(RegistryFixture,
@@ -126,19 +126,19 @@
                  "names no target",
                  "[unit]") {
   this->show({{"i-1", entryOf(0)}, {"i-2", entryOf(100)}}, true);
-  CHECK(this->born("i-1") == std::nullopt);
-  CHECK(this->born("i-2") == 100);
+  CHECK(this->startOf("i-1") == std::nullopt);
+  CHECK(this->startOf("i-2") == 100);
 }
 
 TEST_CASE_METHOD(RegistryFixture,
                  "registry: no entry tells a start: all are listed", "[unit]") {
   this->show({{"i-1", entryOf(0)}, {"i-2", entryOf(0)}}, true);
-  CHECK(this->born("i-1") == 0);
-  CHECK(this->born("i-2") == 0);
+  CHECK(this->startOf("i-1") == 0);
+  CHECK(this->startOf("i-2") == 0);
 }
 
-/// A node that has followed the registry when the store comes back from an
-/// older copy of itself.
+/// A node that followed the registry before the store was restored from an
+/// older copy.
 struct RestoredRegistryFixture : RegistryFixture {
   /// An entry as its target wrote it the \p Sequence-th time.
   static std::string entry(const std::string &State, int Sequence) {
@@ -152,18 +152,18 @@
                        R"(","epoch":1,"rank":0,"state":"open"},)",
                    Sequence);
   }
-  /// The store is back, with a copy that holds \p Records.
+  /// Restores the store from a copy that holds \p Records.
   void restore(const std::vector<KeyedRecord> &Records) {
     ++this->Era;
     this->End = 0;
     this->show(Records, true);
   }
-  bool isListed(const std::string &Id) { return this->born(Id).has_value(); }
+  bool isListed(const std::string &Id) { return this->startOf(Id).has_value(); }
   TargetRef target(const std::string &Id) {
     return this->Board.Targets.read(
         [&](const Fleet &Rows) { return Rows.Targets.at(VmId(Id)); });
   }
-  /// Until each target that lives has written again, and other entries lapsed.
+  /// Waits until live targets have written again and other entries lapsed.
   void waitForTargets() {
     std::this_thread::sleep_for(3 * this->Board.Config.Entry->TargetHeartbeat);
     this->Follow.step();
@@ -181,7 +181,7 @@
   CHECK_FALSE(this->target("i-2")->Draining);
   this->waitForTargets();
   CHECK(this->target("i-1")->Draining);
-  // All of the copy is read once more.
+  // The whole copy is read once more.
   this->show({{"i-1", entry("ready", 1)}, {"i-2", entry("ready", 1)}}, true);
   CHECK(this->target("i-1")->Draining);
   this->show({{"i-1", std::nullopt}});
@@ -219,7 +219,7 @@
   this->show({{"i-1", entry("ready", 1)}, {"i-2", entry("ready", 1)}}, true);
   this->show({{"i-1", std::nullopt}});
   this->restore({{"i-1", entry("ready", 1)}, {"i-2", entry("ready", 1)}});
-  // All is read anew: nothing says that its entry was dropped.
+  // Everything is read again: no record says that its entry was deleted.
   this->show({{"i-2", entry("ready", 1)}}, true);
   this->waitForTargets();
   CHECK_FALSE(this->isListed("i-1"));
@@ -235,7 +235,7 @@
   this->show({{"i-1", member("g3", 11)}});
   CHECK(this->target("i-1")->Group->Group.Name == "g3");
   CHECK(this->target("i-2")->Group->Group.Name == "g2");
-  // What it holds now is what the copy says: nothing had to be written.
+  // Its state is what the copy says, so it had nothing to write.
   this->waitForTargets();
   CHECK(this->target("i-2")->Group->Group.Name == "g1");
 }
@@ -267,7 +267,7 @@
   Vitals.onStart(After, 100, Now);
   Vitals.onEnd(Before, Now, false, 500);
   CHECK(Vitals.of(After).InFlight == 1);
-  // Other nodes name the life, too.
+  // Other nodes identify the incarnation, too.
   CHECK(Vitals.loads(Now).contains(hashOf(Before)));
   CHECK(hashOf(Before) != hashOf(After));
 }
--- a/tests/unit/registry_spread_test.cpp
+++ b/tests/unit/registry_spread_test.cpp
@@ -2,13 +2,9 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// How a registry of thousands of targets reaches all nodes: what an answer to
-// another node holds, and how long the last node takes to know all when every
-// target joins a group at once, as at a start. Where the answers left the
-// registry out, each node read it from the store.
-//
-// In virtual time, with the real caches and packers, one node for each level of
-// the order in which nodes read for each other: those of a level are alike.
+// How changes of a registry with thousands of targets reach all nodes when
+// every target joins a group at once. Simulated in virtual time with the real
+// caches and packers, with one node per level of the upstream tree.
 #include "board/feed_cache.h"
 #include "policy/node_rank.h"
 #include "support/times.h"
@@ -20,16 +16,16 @@
 
 namespace {
 
-/// What operators allow for a change of the registry, at its tightest.
+/// The tightest bound on how late nodes may know of a change.
 constexpr int BoundMs = 3000;
 constexpr int RoundMs = 250;
-constexpr int PartMs = 20;
-/// The store's news come to the first reader this often.
-constexpr int GatherMs = 220;
-/// All targets join, are ready and open within this time.
-constexpr int BurstMs = 3000;
+constexpr int PartIntervalMs = 20;
+/// Interval of the first node's reads of the store.
+constexpr int ReadIntervalMs = 220;
+/// All targets join, get ready and open within this time.
+constexpr int ChangeWindowMs = 3000;
 constexpr int ChangesEach = 3;
-/// The slowest links, of which half is for callers' bytes.
+/// The slowest links; half of their rate is for requests of callers.
 constexpr double SlowBytesPerMs = 20e6 / 8 / 1000 / 2;
 constexpr double FastBytesPerMs = 10 * SlowBytesPerMs;
 
@@ -51,20 +47,20 @@
          std::to_string(Target % 6) + R"(,"state":"ready"}})";
 }
 
-/// One node of a level, and how many ask a node of it.
+/// One node of a level and how many nodes query it.
 struct Level {
   FeedCache Cache;
   FeedPacker Packer;
-  int AsksAt = 0;
-  double Askers = 12;
+  int NextQueryAt = 0;
+  double Downstream = 12;
   double BytesPerMs = SlowBytesPerMs;
 };
 
 } // namespace
 
-/// The first reader and the levels behind it.
+/// The node that reads the store and the levels downstream of it.
 struct SpreadFixture {
-  /// As many levels as \p Nodes of one data centre make.
+  /// Creates as many levels as \p Nodes of one data centre need.
   SpreadFixture(std::size_t Nodes, std::uint64_t Targets) : Targets(Targets) {
     std::vector<NodeInfo> Order(Nodes);
     std::size_t Depth = 1;
@@ -82,15 +78,16 @@
       Row.Cache.take(All, at(0));
   }
 
-  /// What changed until \p Ms comes to the first reader.
+  /// The first node reads the changes until \p Ms.
   void readStore(int Ms) {
     std::uint64_t Due = std::min<std::uint64_t>(
-        this->Targets * ChangesEach,
-        this->Targets * ChangesEach * static_cast<std::uint64_t>(Ms) / BurstMs);
+        this->Targets * ChangesEach, this->Targets * ChangesEach *
+                                         static_cast<std::uint64_t>(Ms) /
+                                         ChangeWindowMs);
     KeyedPage Page;
-    for (; this->Told < Due; ++this->Told) {
+    for (; this->Written < Due; ++this->Written) {
       StorePosition Below = atOffset(++this->End);
-      std::uint64_t Target = this->Told % this->Targets;
+      std::uint64_t Target = this->Written % this->Targets;
       Page.Records.push_back({"i-" + std::to_string(Target),
                               entry(Target, 1 + static_cast<int>(this->End)),
                               Below});
@@ -100,39 +97,39 @@
     this->Levels[0].Cache.take(Page, at(Ms));
   }
 
-  /// A node of level \p Index asks the one before it at \p Ms.
-  void ask(std::size_t Index, int Ms) {
-    Level &Asked = this->Levels[Index - 1];
-    Level &Asks = this->Levels[Index];
-    StorePosition From = *Asks.Cache.next();
-    KeyedPage Page = Asked.Cache.since(From, MostPartBytes);
-    auto News = Asked.Packer.pack(Page, From, at(Ms));
+  /// A node of level \p Index queries its upstream node at \p Ms.
+  void query(std::size_t Index, int Ms) {
+    Level &Upstream = this->Levels[Index - 1];
+    Level &Querying = this->Levels[Index];
+    StorePosition From = *Querying.Cache.next();
+    KeyedPage Page = Upstream.Cache.since(From, MostPartBytes);
+    auto News = Upstream.Packer.pack(Page, From, at(Ms));
     if (News->left_out)
       ++this->LeftOut;
-    this->MostBytes = std::max(this->MostBytes, News->deflated.size());
-    double Time = static_cast<double>(News->deflated.size()) * Asked.Askers /
-                  Asked.BytesPerMs;
+    this->MaxBytes = std::max(this->MaxBytes, News->deflated.size());
+    double Time = static_cast<double>(News->deflated.size()) *
+                  Upstream.Downstream / Upstream.BytesPerMs;
     int Arrives = Ms + static_cast<int>(Time);
     if (absl::StatusOr<KeyedPage> Read = readFeed(*News, at(Ms), at(Arrives));
         Read.ok() && !News->left_out)
-      Asks.Cache.take(*Read, at(Arrives));
-    Asks.AsksAt = Arrives + (News->partial ? PartMs : RoundMs);
+      Querying.Cache.take(*Read, at(Arrives));
+    Querying.NextQueryAt = Arrives + (News->partial ? PartIntervalMs : RoundMs);
   }
 
-  /// How long after the burst the last level knows all.
+  /// How long after the last change the last level knows all changes.
   int lagMs() {
-    int Reads = 0;
-    for (int Ms = 1; Ms < BurstMs + 4 * BoundMs; ++Ms) {
-      if (Ms >= Reads) {
+    int NextRead = 0;
+    for (int Ms = 1; Ms < ChangeWindowMs + 4 * BoundMs; ++Ms) {
+      if (Ms >= NextRead) {
         this->readStore(Ms);
-        Reads = Ms + GatherMs;
+        NextRead = Ms + ReadIntervalMs;
       }
       for (std::size_t I = 1; I < this->Levels.size(); ++I)
-        if (Ms >= this->Levels[I].AsksAt)
-          this->ask(I, Ms);
-      if (Ms > BurstMs + GatherMs &&
+        if (Ms >= this->Levels[I].NextQueryAt)
+          this->query(I, Ms);
+      if (Ms > ChangeWindowMs + ReadIntervalMs &&
           this->Levels.back().Cache.next() == atOffset(this->End))
-        return Ms - BurstMs;
+        return Ms - ChangeWindowMs;
     }
     return 4 * BoundMs;
   }
@@ -140,9 +137,9 @@
   std::uint64_t Targets;
   std::vector<Level> Levels;
   std::uint64_t End = 1;
-  std::uint64_t Told = 0;
+  std::uint64_t Written = 0;
   unsigned LeftOut = 0;
-  std::size_t MostBytes = 0;
+  std::size_t MaxBytes = 0;
 };
 
 TEST_CASE("registry spread: 3,000 targets join groups at once: the last of 20, "
@@ -153,9 +150,9 @@
     INFO(Nodes << " nodes");
     SpreadFixture Run(Nodes, 3000);
     int Lag = Run.lagMs();
-    INFO("lag " << Lag << " ms, largest answer " << Run.MostBytes);
+    INFO("lag " << Lag << " ms, largest response " << Run.MaxBytes);
     CHECK(Run.LeftOut == 0);
-    CHECK(Run.MostBytes <= MostPassedBytes);
+    CHECK(Run.MaxBytes <= MostPassedBytes);
     CHECK(Lag < BoundMs);
   }
 }
--- a/tests/unit/store_reader_test.cpp
+++ b/tests/unit/store_reader_test.cpp
@@ -2,9 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Reading a feed from the store, or leaving that to a neighbour: when the node
-// reads itself after all, what a call that hangs may hold up, and what an
-// answer proves.
+// Reading a feed from the store or leaving that to an upstream node: when the
+// node reads itself, what a hanging call delays, and what a response proves.
 #include "control/cached_feed.h"
 #include "control/config_follower.h"
 #include "control/store_reader.h"
@@ -17,24 +16,24 @@
 
 namespace {
 
-/// A store that counts its reads and has one record. Two connections open it:
-/// the first is that of the reads in turn.
+/// A store with one record that counts its reads. The first of two connections
+/// is that of the regular reads.
 struct FakeStore {
   static inline int Opened = 0;
   static inline int Newest = 0;
   static inline int Follows = 0;
   static inline bool HistoryGone = false;
   static inline std::uint64_t End = 7;
-  /// How often it came back from an older copy.
+  /// How often it was restored from an older copy.
   static inline std::uint64_t Era = 0;
-  /// The first connection is dead: a call there ends after this time only.
-  static inline Millis Hangs{0};
-  /// How late each answer is.
-  static inline Millis Late{0};
-  /// Ends of the waits that it was asked for.
+  /// If set, the first connection is dead and calls there end after this time.
+  static inline Millis HangTime{0};
+  /// Delay of each response.
+  static inline Millis ResponseDelay{0};
+  /// Duration of the last wait that was requested.
   static inline Millis LastWait{0};
 
-  bool InTurn = false;
+  bool IsMain = false;
 
   void renew() {}
   absl::StatusOr<KeyedPage> newest() {
@@ -47,7 +46,7 @@
     Page.Records.push_back({"a", "newest"});
     return Page;
   }
-  absl::StatusOr<KeyedPage> follow(StorePosition Asked, Millis Wait) {
+  absl::StatusOr<KeyedPage> follow(StorePosition Position, Millis Wait) {
     ++Follows;
     LastWait = Wait;
     if (this->hangs())
@@ -55,8 +54,8 @@
     if (HistoryGone)
       return makeError(ErrorKind::NotFound, "the history is gone");
     KeyedPage Page;
-    // As the platform's: the offset alone is what a question names.
-    StorePosition From(StoreEra(Era), Asked.At);
+    // Like the platform's: a request names the offset alone.
+    StorePosition From(StoreEra(Era), Position.At);
     Page.Next = std::min(From, atOffset(End, Era));
     if (From < atOffset(End, Era)) {
       Page.Next = atOffset(End, Era);
@@ -64,18 +63,18 @@
     } else {
       std::this_thread::sleep_for(Wait);
     }
-    std::this_thread::sleep_for(Late);
+    std::this_thread::sleep_for(ResponseDelay);
     return Page;
   }
   bool hangs() const {
-    if (!this->InTurn || Hangs.count() == 0)
+    if (!this->IsMain || HangTime.count() == 0)
       return false;
-    std::this_thread::sleep_for(Hangs);
+    std::this_thread::sleep_for(HangTime);
     return true;
   }
   static FakeStore open(EntryBoard &) {
     FakeStore Store;
-    Store.InTurn = Opened++ == 0;
+    Store.IsMain = Opened++ == 0;
     return Store;
   }
   static void reset() {
@@ -83,7 +82,7 @@
     HistoryGone = false;
     End = 7;
     Era = 0;
-    Hangs = Late = LastWait = Millis(0);
+    HangTime = ResponseDelay = LastWait = Millis(0);
   }
 };
 
@@ -101,15 +100,16 @@
 
 } // namespace
 
-/// A node whose neighbour told it all up to offset 7 a moment ago.
+/// A node that has just received everything up to offset 7 from its upstream
+/// node.
 struct StoreReaderFixture {
   StoreReaderFixture() : Board(entrySettings(), IncarnationId("i")) {
     FakeStore::reset();
     this->Reader.emplace(this->Board, FeedKind::Registry, &FakeStore::open);
-    this->tell(7);
+    this->receive(7);
     this->Board.Relayed = true;
   }
-  void tell(std::uint64_t Next) {
+  void receive(std::uint64_t Next) {
     KeyedPage Page;
     Page.Whole = true;
     Page.Next = atOffset(Next);
@@ -117,8 +117,7 @@
     this->cache().take(Page, Page.ProvenAt);
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Registry); }
-  /// Runs the reads in turn and the watch over them in threads of their own for
-  /// \p Time.
+  /// Runs step() and watch() in their own threads for \p Time.
   void run(Millis Time) {
     TimePoint End = SystemClock{}.now() + Time;
     auto Loop = [&](auto Step) {
@@ -127,10 +126,10 @@
           std::this_thread::sleep_for(std::min(Step(), Millis(20)));
       });
     };
-    std::thread Turn = Loop([this] { return this->Reader->step(); });
-    std::thread Watch = Loop([this] { return this->Reader->watch(); });
-    Turn.join();
-    Watch.join();
+    std::thread MainThread = Loop([this] { return this->Reader->step(); });
+    std::thread WatchThread = Loop([this] { return this->Reader->watch(); });
+    MainThread.join();
+    WatchThread.join();
   }
 
   EntryBoard Board;
@@ -141,14 +140,14 @@
                  "store reader: the neighbour's news are current: the store is "
                  "not read",
                  "[unit]") {
-  std::thread Neighbour([&] {
+  std::thread Upstream([&] {
     for (int Rounds = 0; Rounds < 10; ++Rounds) {
       std::this_thread::sleep_for(Millis(50));
-      this->tell(7);
+      this->receive(7);
     }
   });
   this->run(Millis(450));
-  Neighbour.join();
+  Upstream.join();
   CHECK(FakeStore::Follows + FakeStore::Newest == 0);
 }
 
@@ -169,11 +168,11 @@
                  "before the bound ends",
                  "[unit]") {
   FakeStore::End = 8;
-  TimePoint Began = SystemClock{}.now();
+  TimePoint Start = SystemClock{}.now();
   while (this->cache().next() == atOffset(7) &&
-         SystemClock{}.now() - Began < Millis(2000))
+         SystemClock{}.now() - Start < Millis(2000))
     this->Reader->step();
-  CHECK(SystemClock{}.now() - Began < DrainBound);
+  CHECK(SystemClock{}.now() - Start < DrainBound);
   CHECK(FakeStore::Follows == 1);
 }
 
@@ -195,17 +194,17 @@
     "store reader: its call hangs: what a neighbour tells is there "
     "at once",
     "[unit]") {
-  FakeStore::Hangs = Millis(1000);
+  FakeStore::HangTime = Millis(1000);
   this->Board.Relayed = false;
   CachedFeed Follower(this->cache());
-  std::thread Turn([&] { this->Reader->step(); });
+  std::thread MainThread([&] { this->Reader->step(); });
   std::this_thread::sleep_for(Millis(50));
-  this->tell(8);
-  TimePoint Told = SystemClock{}.now();
+  this->receive(8);
+  TimePoint ReceivedAt = SystemClock{}.now();
   absl::StatusOr<KeyedPage> Page = Follower.follow(atOffset(7), Millis(900));
   CHECK(Page->Next == atOffset(8));
-  CHECK(SystemClock{}.now() - Told < Millis(200));
-  Turn.join();
+  CHECK(SystemClock{}.now() - ReceivedAt < Millis(200));
+  MainThread.join();
 }
 
 TEST_CASE_METHOD(
@@ -213,16 +212,16 @@
     "store reader: its call hangs and nobody tells it anything: it "
     "asks on another connection before the bound ends",
     "[unit]") {
-  FakeStore::Hangs = Millis(1500);
+  FakeStore::HangTime = Millis(1500);
   FakeStore::End = 8;
   this->Board.Relayed = false;
-  TimePoint Began = SystemClock{}.now();
+  TimePoint Start = SystemClock{}.now();
   std::thread Known([&] {
     CachedFeed Follower(this->cache());
     while (this->cache().next() == atOffset(7) &&
-           SystemClock{}.now() - Began < Millis(1400))
+           SystemClock{}.now() - Start < Millis(1400))
       static_cast<void>(Follower.follow(atOffset(7), Millis(20)));
-    CHECK(SystemClock{}.now() - Began < DrainBound);
+    CHECK(SystemClock{}.now() - Start < DrainBound);
   });
   this->run(Millis(600));
   Known.join();
@@ -232,14 +231,14 @@
                  "store reader: the store answers from an older state: that is "
                  "not taken and proves nothing",
                  "[unit]") {
-  this->tell(9);
+  this->receive(9);
   TimePoint Proven = this->cache().provenAt();
   FakeStore::End = 8;
   this->Board.Relayed = false;
   this->Reader->step();
   CHECK(this->cache().next() == atOffset(9));
   CHECK(this->cache().provenAt() == Proven);
-  // Where the history behind 9 is gone, there is something newer than 9.
+  // If the history after 9 is truncated, there has to be something newer.
   FakeStore::End = 9;
   FakeStore::HistoryGone = true;
   this->Reader->step();
@@ -263,7 +262,7 @@
     CHECK(FakeStore::Newest == 1);
     CHECK(this->cache().next() == atOffset(End, FakeStore::Era));
   }
-  // What it says of an offset that it has not any more is as good.
+  // The same if the store reports a truncated history.
   FakeStore::HistoryGone = true;
   FakeStore::End = 2;
   ++FakeStore::Era;
@@ -281,14 +280,13 @@
   this->Reader->step();
   this->Reader->step();
   REQUIRE(this->cache().next()->Era == StoreEra(1));
-  Millis Left = std::chrono::ceil<Millis>(this->cache().whole().HoldUntil -
-                                          SystemClock{}.now());
-  CHECK(Left > FeedCache::LapseTime - Millis(500));
-  CHECK(Left <= FeedCache::LapseTime);
+  Millis Remaining = std::chrono::ceil<Millis>(this->cache().whole().HoldUntil -
+                                               SystemClock{}.now());
+  CHECK(Remaining > FeedCache::LapseTime - Millis(500));
+  CHECK(Remaining <= FeedCache::LapseTime);
 }
 
-// 295 nodes lost the store and have it back at the same moment. Each would read
-// all 931 targets, 0.4 MB, of which the store gives 80 MB a second in all.
+// Guards against all nodes reading the whole feed at once after a restore.
 TEST_CASE_METHOD(StoreReaderFixture,
                  "store reader: the store came back from an older copy, and a "
                  "neighbour reads it all: this node is told, and reads nothing",
@@ -298,7 +296,7 @@
   this->Board.NodesKnown = 3;
   FakeStore::End = 5;
   ++FakeStore::Era;
-  std::thread Neighbour([&] {
+  std::thread Upstream([&] {
     std::this_thread::sleep_for(Millis(300));
     KeyedPage Page;
     Page.Whole = true;
@@ -307,10 +305,10 @@
     this->cache().take(Page, Page.ProvenAt);
   });
   this->run(Millis(500));
-  Neighbour.join();
+  Upstream.join();
   CHECK(FakeStore::Newest == 0);
   CHECK(this->cache().next() == atOffset(5, FakeStore::Era));
-  // What comes from then on it can follow.
+  // It can follow later changes.
   FakeStore::End = 6;
   this->run(Millis(200));
   CHECK(FakeStore::Newest == 0);
@@ -325,11 +323,11 @@
   this->Board.FirstOfCentre = false;
   this->Board.NodesKnown = 3;
   ++FakeStore::Era;
-  TimePoint Began = SystemClock{}.now();
+  TimePoint Start = SystemClock{}.now();
   this->run(Millis(1300));
   CHECK(FakeStore::Newest == 1);
   CHECK(this->cache().next() == atOffset(7, FakeStore::Era));
-  CHECK(SystemClock{}.now() - Began < Millis(1500));
+  CHECK(SystemClock{}.now() - Start < Millis(1500));
 }
 
 TEST_CASE_METHOD(StoreReaderFixture,
@@ -355,14 +353,13 @@
                  "next wait is shorter",
                  "[unit]") {
   this->Board.Relayed = false;
-  FakeStore::Late = Millis(60);
+  FakeStore::ResponseDelay = Millis(60);
   FakeStore::End = 8;
   this->Reader->step();
   Millis Pause = this->Reader->step();
-  // 60 ms of the time between two proofs went while the records were on their
-  // way, so the next may wait so much less.
-  Millis Span = *this->Board.mostAge(FeedKind::Registry) - Millis(100);
-  CHECK(FakeStore::LastWait <= Span - Millis(60));
+  // The proof is as old as its request, so the next wait is 60 ms shorter.
+  Millis Interval = *this->Board.mostAge(FeedKind::Registry) - Millis(100);
+  CHECK(FakeStore::LastWait <= Interval - Millis(60));
   CHECK(Pause > Millis(0));
 }
 
@@ -370,23 +367,23 @@
                  "store reader: it takes over from a neighbour: it may tell "
                  "others at once",
                  "[unit]") {
-  // What it knows came from the neighbour; nothing new comes meanwhile.
+  // What it knows came from the upstream node; nothing changes meanwhile.
   this->Board.Relayed = false;
   REQUIRE_FALSE(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
-  TimePoint Began = SystemClock{}.now();
+  TimePoint Start = SystemClock{}.now();
   this->Reader->step();
-  CHECK(SystemClock{}.now() - Began < Millis(50));
+  CHECK(SystemClock{}.now() - Start < Millis(50));
   CHECK(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
-  // From then on it waits for what is new.
+  // From then on it waits for changes.
   this->Reader->step();
   CHECK(FakeStore::LastWait > Millis(50));
 }
 
-/// A node that reads the configuration itself, and the proof of its keys.
+/// A node that reads the configuration itself.
 struct ProofFixture {
   ProofFixture() : Board(entrySettings(), IncarnationId("i")) {
     FakeStore::reset();
-    FakeStore::Late = Millis(60);
+    FakeStore::ResponseDelay = Millis(60);
     this->Reader.emplace(this->Board, FeedKind::Config, &FakeStore::open);
   }
   struct OneVersion {
--- a/tools/without.py
+++ b/tools/without.py
@@ -58,7 +58,7 @@
         "crash blame: answered before"),
     "blame-lasts": (
         "src/control/node_follower.h",
-        "this->takeBlamed(Read->Blamed);", "",
+        "this->applyBlamed(Read->Blamed);", "",
         "directory: an announcement blames"),
     "shared-sight": (
         "src/policy/vitals.cpp",
@@ -70,7 +70,7 @@
         "connections: many nodes"),
     "unreached-out": (
         "src/control/member_prober.h",
-        "this->Silent[Vm] = {Now, SilentAsks};", "",
+        "this->Suspects[Vm] = {Now, MaxFailures};", "",
         "members: one is not reached"),
     "missing-staged": (
         "src/policy/domain_stage.cpp",
@@ -83,7 +83,7 @@
         "staging: a model is short"),
     "loads-at-once": (
         "src/control/load_budget.cpp",
-        "Most - Begun", "1000.0",
+        "Max - Begun", "1000.0",
         "load budget"),
     "doubts-shared": (
         "src/policy/vitals.cpp",
@@ -107,7 +107,7 @@
         "domain views: other domains"),
     "news-age": (
         "src/control/store_reader.h",
-        "Most && Now - this->Cache.provenAt() >= *Most", "false && Most && Now > TimePoint()",
+        "MaxAge && Now - this->Cache.provenAt() >= *MaxAge", "false && MaxAge && Now > TimePoint()",
         "store reader: the neighbour falls silent"),
     "era-compared": (
         "src/control/store_reader.h",
@@ -119,7 +119,7 @@
         "config: the store came back with an older"),
     "older-not-in-force": (
         "src/control/config_follower.h",
-        "if (this->inForce() >= this->Least)", "if (true)",
+        "if (this->inForce() >= this->MinVersion)", "if (true)",
         "config: a node that starts"),
     "strangers-wait": (
         "src/control/restore_wait.h",
@@ -127,11 +127,11 @@
         "store restored: all entries|config: the store came back with the version in force: "),
     "era-noted": (
         "src/control/node_follower.h",
-        "for (const NodeInfo &Row : Come)\n      this->noteSettled(Row.Settled);", "",
+        "for (const NodeInfo &Row : Present)\n      this->settle(Row.Settled);", "",
         "directory: another node|store restored: written again"),
     "restored-held": (
         "src/control/registry_follower.h",
-        "if (this->isHeld(*Read, hashText(*Row.Value), Now)) {", "if (false) {",
+        "if (this->isHeld(*Read, hashText(*Record.Value), Now)) {", "if (false) {",
         "registry restored|store restored: a target"),
     "restored-unplanned": (
         "src/control/registry_follower.h",
@@ -139,7 +139,7 @@
         "registry restored: nothing is planned"),
     "second-connection": (
         "src/control/store_reader.h",
-        "Millis Pause = this->read(this->Spare, Millis(0), false);", "Millis Pause(50);",
+        "Millis Pause = this->read(this->Backup, Millis(0), false);", "Millis Pause(50);",
         "store reader: its call hangs and|leaving target: a node|neighbours: alone"),
     "kept-last": (
         "src/policy/choice.cpp",
@@ -151,7 +151,7 @@
         "choice: the registry is old|leaving target: no node"),
     "news-from-peers": (
         "src/control/news.cpp",
-        "this->askPeers(Nodes, SystemClock{}.now());", "",
+        "this->queryPeers(Nodes, SystemClock{}.now());", "",
         "leaving target: the reader loses"),
     "given-up-reset": (
         "src/entry/relay.h",
