--- a/tests/unit/news_test.cpp
+++ b/tests/unit/news_test.cpp
@@ -317,7 +317,7 @@
 }
 
 /// Reports of other nodes on the load of one head.
-struct LoadFixture {
+struct LoadReportFixture {
   static LoadRows rows(unsigned InFlight, unsigned Answering, int SilentMs) {
     TargetLoad Load;
     Load.InFlight = InFlight;
@@ -329,7 +329,7 @@
   LoadBook Book;
 };
 
-TEST_CASE_METHOD(LoadFixture,
+TEST_CASE_METHOD(LoadReportFixture,
                  "load news: several nodes report: each hears of the others",
                  "[unit]") {
   this->Book.report(NodeId("a"), rows(2, 1, 50), at(0));
@@ -343,13 +343,13 @@
   CHECK(this->Book.upward(rows(1, 0, 0), at(10))[Head].InFlight == 6);
 }
 
-TEST_CASE_METHOD(LoadFixture, "load news: a report ages: it counts no more",
-                 "[unit]") {
+TEST_CASE_METHOD(LoadReportFixture,
+                 "load news: a report ages: it counts no more", "[unit]") {
   this->Book.report(NodeId("a"), rows(2, 1, 50), at(0));
   CHECK(this->Book.others(at(2000)).empty());
 }
 
-TEST_CASE_METHOD(LoadFixture,
+TEST_CASE_METHOD(LoadReportFixture,
                  "load news: one answer moves: the target stands not still",
                  "[unit]") {
   this->Book.report(NodeId("a"), rows(2, 2, 900), at(0));
