--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -160,7 +160,7 @@
                                   const WorkShare &Mine, TimePoint Now) {
     std::vector<GroupOrder> Orders;
     std::map<std::string, unsigned> Serving = servingGroups(this->Board);
-    this->Members.forgetFates(Now);
+    this->Members.expireStatuses(Now);
     std::map<DomainId, DomainView> Views =
         ownedDomains(this->Board, Config, Mine, Now);
     // What was planned under an earlier ownership is no longer known.
@@ -171,25 +171,25 @@
       const EngineSpec &Engine = *Config.service(View.Service)->Engine;
       View.EpochFloor = Mine.fence() << CounterBits;
       View.LoadsAllowed = this->Loads.allowed(View.LoadsAllowed, Engine, Now);
-      View.LoadsSpare = this->Loads.allowed(View.LoadsSpare, Engine, Now);
-      View.Fates = this->Members.fates();
-      View.Serving = Serving;
+      View.SpareLoads = this->Loads.allowed(View.SpareLoads, Engine, Now);
+      View.Statuses = this->Members.statuses();
+      View.ServingGroups = Serving;
       View.Demand = this->demandOf(Engine);
       this->Members.findLost(View);
       Owned &Row = this->Planners.try_emplace(Domain, Now).first->second;
-      if (Now - Row.Since < TakeoverWait || this->isUnread(Row.Since))
+      if (Now - Row.Since < TakeoverDelay || this->isUnread(Row.Since))
         continue;
       if (!Row.Floor)
         Row.Floor = firstFloor(View);
-      View.OwnedFloor = *Row.Floor;
-      View.EpochFloor = std::max(View.EpochFloor, View.OwnedFloor);
-      View.DrainHold = std::max(
+      View.PriorEpochMax = *Row.Floor;
+      View.EpochFloor = std::max(View.EpochFloor, View.PriorEpochMax);
+      View.DrainGracePeriod = std::max(
           Millis(0), this->Board.Config.Entry->DrainBound - DrainMargin);
       std::vector<GroupOrder> Next = Row.Planner.step(View, Engine);
       for (const GroupOrder &Order : Next)
         this->Loads.count(Order, Engine, Now);
       Orders.insert(Orders.end(), Next.begin(), Next.end());
-      this->Members.askAfter(View, Row.Planner.askAfter());
+      this->Members.askAfter(View, Row.Planner.statusQueries());
     }
     return Orders;
   }
@@ -224,7 +224,7 @@
     };
     for (const TargetRef &Row : View.Targets)
       Note(*Row);
-    for (const GoneTarget &Row : View.Gone)
+    for (const RemovedTarget &Row : View.Removed)
       Note(*Row.Last);
     return Seen < View.EpochFloor ? View.EpochFloor : Seen + UnseenEpochs;
   }
@@ -238,7 +238,7 @@
       return;
     if (auto At = this->Planners.find(Order.To->Domain);
         At != this->Planners.end())
-      At->second.Planner.onLeft(Order);
+      At->second.Planner.onLeaveConfirmed(Order);
   }
 
   /// Whoever does not take an order to join, or whose process has ended, is
--- a/src/control/domain_views.cpp
+++ b/src/control/domain_views.cpp
@@ -4,8 +4,8 @@
 
 #include "control/domain_views.h"
 
-#include "policy/domain_outlook.h"
-#include "policy/load_turns.h"
+#include "policy/domain_forecast.h"
+#include "policy/load_schedule.h"
 
 #include <algorithm>
 #include <iterator>
@@ -28,7 +28,7 @@
 }
 
 /// Tells \p View of the groups of all other domains of its service.
-void countElsewhere(const std::map<DomainId, DomainOutlook> &Outlooks,
+void countElsewhere(const std::map<DomainId, DomainForecast> &Outlooks,
                     DomainView &View) {
   std::set<DataCentreId> Centres;
   // By model, the most groups of one domain, and which that is.
@@ -39,22 +39,22 @@
       Own == Outlooks.end() ? DataCentreId() : Own->second.Centre;
   for (const auto &[Domain, Row] : Outlooks) {
     Centres.insert(Row.Centre);
-    View.AnyCloses |= Row.Closes;
-    for (const auto &[Model, Count] : Row.Serving)
+    View.AnyGroupClosing |= Row.AnyGroupClosing;
+    for (const auto &[Model, Count] : Row.ServingGroups)
       if (auto &Best = Most[Model]; Count > Best.first)
         Best = {Count, Domain};
     if (Domain == View.Domain)
       continue;
-    addTo(View.Elsewhere, Row.Groups);
+    addTo(View.OtherGroups, Row.Groups);
     if (Row.Centre == Here)
-      addTo(View.ElsewhereInCentre, Row.Groups);
+      addTo(View.OtherGroupsInCentre, Row.Groups);
     if (Domain < View.Domain)
-      addTo(View.TradesBefore, Row.Trade);
+      addTo(View.EarlierTrades, Row.Trade);
   }
-  View.Centres = Centres.size();
+  View.CentreCount = Centres.size();
   for (const auto &[Model, Best] : Most)
     if (Best.second == View.Domain)
-      View.MayGiveUp.insert(Model);
+      View.ReleasableModels.insert(Model);
 }
 
 } // namespace
@@ -86,27 +86,27 @@
       if (Wanted(*Row))
         ViewOf(*Row).Targets.push_back(Row);
     }
-    for (const auto &[Id, Row] : Rows.Gone)
+    for (const auto &[Id, Row] : Rows.Removed)
       if (Wanted(*Row.Last))
-        ViewOf(*Row.Last).Gone.push_back(Row);
+        ViewOf(*Row.Last).Removed.push_back(Row);
   });
-  std::map<ServiceId, LoadTurns> Turns;
-  std::map<ServiceId, std::map<DomainId, DomainOutlook>> Outlooks;
+  std::map<ServiceId, LoadSchedule> Turns;
+  std::map<ServiceId, std::map<DomainId, DomainForecast>> Outlooks;
   for (auto &[Domain, View] : Views) {
     const std::set<DomainId> &Order = Domains[View.Service];
-    View.Turn = static_cast<std::size_t>(
+    View.DomainIndex = static_cast<std::size_t>(
         std::distance(Order.begin(), Order.find(Domain)));
     const EngineSpec &Engine = *Config.service(View.Service)->Engine;
     auto At = Turns.find(View.Service);
     if (At == Turns.end()) {
-      At = Turns.emplace(View.Service, loadTurns(All[View.Service], Engine))
+      At = Turns.emplace(View.Service, scheduleLoads(All[View.Service], Engine))
                .first;
-      Outlooks[View.Service] = domainOutlooks(All[View.Service], Engine);
+      Outlooks[View.Service] = forecastDomains(All[View.Service], Engine);
     }
     const std::map<DomainId, unsigned> &ByDomain = At->second.ByDomain;
     auto Turn = ByDomain.find(Domain);
     View.LoadsAllowed = Turn == ByDomain.end() ? 0 : Turn->second;
-    View.LoadsSpare = At->second.Spare;
+    View.SpareLoads = At->second.SpareLoads;
     countElsewhere(Outlooks[View.Service], View);
   }
   return Views;
@@ -117,7 +117,7 @@
   ServingViewRef View =
       Board.Serving.read([](const ServingViewRef &Row) { return Row; });
   for (const auto &[Service, Rows] : View->ByService)
-    for (const Serving &Row : Rows)
+    for (const ServingTarget &Row : Rows)
       if (!Row.Model.empty())
         ++Counts[Row.Model];
   return Counts;
--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -40,7 +40,7 @@
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
   { Control.order(Order, Fence) } -> std::same_as<OrderEnd>;
-  { Control.ask(Target) } -> std::same_as<MemberFate>;
+  { Control.ask(Target) } -> std::same_as<MemberStatus>;
   { Control.reach(Target) } -> std::same_as<Reach>;
 };
 
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -22,7 +22,7 @@
 unsigned LoadBudget::allowed(unsigned Turns, const EngineSpec &Engine,
                              TimePoint Now) {
   if (this->isFree())
-    return FreeLoads;
+    return UnlimitedLoads;
   std::erase_if(this->Loads,
                 [&](TimePoint At) { return Now - At > LoadWindow; });
   double Seconds = std::chrono::duration<double>(LoadWindow).count();
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -11,12 +11,12 @@
 
 /// Bounds the loads of weights from the shared store that this node's domains
 /// begin in a second, which the platform limits over all nodes; how many run is
-/// bounded by loadTurns(). Used by one thread.
+/// bounded by scheduleLoads(). Used by one thread.
 class LoadBudget {
 public:
   explicit LoadBudget(const EntryBoard &Board) : Board(Board) {}
 
-  /// How many of \p Turns loads may begin now; FreeLoads before the first
+  /// How many of \p Turns loads may begin now; UnlimitedLoads before the first
   /// request of a first start.
   unsigned allowed(unsigned Turns, const EngineSpec &Engine, TimePoint Now);
   /// Counts the load that \p Order causes, if any.
--- a/src/control/member_inquiry.h
+++ b/src/control/member_inquiry.h
@@ -22,15 +22,17 @@
       : Board(Board), Targets(Targets) {}
 
   /// What became of the members that were asked after.
-  const std::map<VmLife, MemberFate> &fates() const { return this->Fates; }
+  const std::map<VmLife, MemberStatus> &statuses() const {
+    return this->Statuses;
+  }
 
   /// What was learned of members is of use only while it is new: one that was
   /// cut off may be back.
-  void forgetFates(TimePoint Now) {
+  void expireStatuses(TimePoint Now) {
     std::erase_if(this->Questions, [&](const auto &Entry) {
-      return Now - Entry.second.At > FateMemory;
+      return Now - Entry.second.At > StatusMemory;
     });
-    std::erase_if(this->Fates, [&](const auto &Entry) {
+    std::erase_if(this->Statuses, [&](const auto &Entry) {
       return !this->Questions.contains(Entry.first);
     });
   }
@@ -77,34 +79,34 @@
       this->askHead(Groups[Key], View.Now);
     for (const auto &[Id, Row] : this->Silent)
       if (Row.Silent >= SilentAsks)
-        View.Lost.insert(Id);
+        View.PresumedDead.insert(Id);
   }
 
   /// Asks what became of members whose entries went. Silence says something
   /// only while another target of the domain answers this node.
   void askAfter(const DomainView &View,
-                const std::vector<GoneTarget> &Members) {
-    for (const GoneTarget &Row : Members) {
+                const std::vector<RemovedTarget> &Members) {
+    for (const RemovedTarget &Row : Members) {
       Asked &Entry = this->Questions[Row.Last->life()];
-      MemberFate &Known = this->Fates[Row.Last->life()];
-      Millis Pause = Known == MemberFate::Unknown ? AskEvery : AskAgain;
+      MemberStatus &Known = this->Statuses[Row.Last->life()];
+      Millis Pause = Known == MemberStatus::Unknown ? AskEvery : AskAgain;
       if (Entry.At != TimePoint() && View.Now - Entry.At < Pause)
         continue;
       Entry.At = View.Now;
-      MemberFate Fate = this->Targets.ask(*Row.Last);
-      if (Fate == MemberFate::Unknown && this->reachesAny(View))
+      MemberStatus Status = this->Targets.ask(*Row.Last);
+      if (Status == MemberStatus::Unknown && this->reachesAny(View))
         ++Entry.Silent;
       else
         Entry.Silent = 0;
       if (Entry.Silent >= SilentAsks)
-        Fate = MemberFate::Dead;
-      if (std::exchange(Known, Fate) == Fate)
+        Status = MemberStatus::Dead;
+      if (std::exchange(Known, Status) == Status)
         continue;
       this->Board.Log.emit(EventCode::DomainReleased, Row.Last->Id.Text,
                            LogFields()
                                .add("reason", "a member is not listed")
                                .add("silent_asks", Entry.Silent)
-                               .add("fate", static_cast<int>(Fate)));
+                               .add("fate", static_cast<int>(Status)));
     }
   }
 
@@ -115,7 +117,7 @@
   static constexpr unsigned SilentAsks = 2;
   /// Once its fate is known, it is asked again this often.
   static constexpr Millis AskAgain{1500};
-  static constexpr Millis FateMemory{2000};
+  static constexpr Millis StatusMemory{2000};
   /// Targets of a domain that are tried to see whether it can be reached.
   static constexpr std::size_t ControlAsks = 3;
   /// Silence of a head that is worth asking its members for: events come up to
@@ -186,7 +188,7 @@
 
   EntryBoard &Board;
   Control &Targets;
-  std::map<VmLife, MemberFate> Fates;
+  std::map<VmLife, MemberStatus> Statuses;
   std::map<VmLife, Asked> Questions;
   std::map<VmLife, Asked> Silent;
 };
--- a/src/control/registry_follow.h
+++ b/src/control/registry_follow.h
@@ -85,8 +85,8 @@
     if (Now < Page.HoldUntil) {
       News |= this->keep(std::exchange(Read.Left, {}), Page, Now);
     } else {
-      Read.Left.merge(this->Kept);
-      this->Kept.clear();
+      Read.Left.merge(this->Retained);
+      this->Retained.clear();
     }
     Read.Left.merge(Read.Refused);
     if (News || !Read.Left.empty())
@@ -106,7 +106,7 @@
       absl::StatusOr<TargetInfo> Read = this->Decode(Row.Key, *Row.Value);
       if (!Read.ok()) {
         Into.Refused.insert(Id);
-        this->Kept.erase(Id);
+        this->Retained.erase(Id);
         this->noteRefused(Id, *Row.Value, messageOf(Read.status()));
         continue;
       }
@@ -121,7 +121,7 @@
         continue;
       }
       Into.Left.erase(Id);
-      this->Kept.erase(Id);
+      this->Retained.erase(Id);
       Into.Come.push_back(std::make_shared<const TargetInfo>(std::move(*Read)));
     }
     if (Page.Whole)
@@ -194,8 +194,9 @@
     return this->Board.Targets.read([&](const Fleet &Rows) {
       if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end())
         return At->second->Born;
-      auto Gone = Rows.Gone.find(Id);
-      return Gone == Rows.Gone.end() ? WallMs() : Gone->second.Last->Born;
+      auto Removed = Rows.Removed.find(Id);
+      return Removed == Rows.Removed.end() ? WallMs()
+                                           : Removed->second.Last->Born;
     });
   }
 
@@ -204,7 +205,7 @@
   bool keep(const std::set<VmId> &Left, const KeyedPage &Page, TimePoint Now) {
     bool New = false;
     for (const VmId &Id : Left) {
-      if (!this->isListed(Id) || !this->Kept.insert(Id).second)
+      if (!this->isListed(Id) || !this->Retained.insert(Id).second)
         continue;
       New = true;
       this->Board.Log.emit(
@@ -243,14 +244,14 @@
 
   void store(const std::vector<TargetRef> &Come, const std::set<VmId> &Left,
              StorePosition Registry, TimePoint Now) {
-    std::vector<VmId> Gone;
+    std::vector<VmId> Removed;
     std::vector<std::pair<TargetRef, TargetRef>> Reborn;
     std::vector<VmLife> Regrouped;
     this->Board.Targets.write([&](Fleet &Rows) {
       ++Rows.Version;
       Rows.Registry = Registry;
-      Rows.Kept = this->Kept;
-      std::erase_if(Rows.Gone, [&](const auto &Entry) {
+      Rows.Retained = this->Retained;
+      std::erase_if(Rows.Removed, [&](const auto &Entry) {
         return Now - Entry.second.Since > GoneMemory;
       });
       for (const TargetRef &Row : Come) {
@@ -260,13 +261,13 @@
         else if (Last && groupOf(*Last) != groupOf(*Row))
           Regrouped.push_back(Row->life());
         Last = Row;
-        Rows.Gone.erase(Row->Id);
+        Rows.Removed.erase(Row->Id);
       }
       for (const VmId &Id : Left)
         if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end()) {
-          Rows.Gone[Id] = {At->second, Now};
+          Rows.Removed[Id] = {At->second, Now};
           Rows.Targets.erase(At);
-          Gone.push_back(Id);
+          Removed.push_back(Id);
         }
     });
     this->Board.Vitals.write([&](VitalsTable &Rows) {
@@ -287,7 +288,7 @@
                                .add("born", Row->Born.Value)
                                .add("before", Last->Born.Value)
                                .add("registry", Registry.At.Value));
-    for (const VmId &Id : Gone)
+    for (const VmId &Id : Removed)
       this->Board.Log.emit(EventCode::TargetGone, Id.Text,
                            LogFields().add("registry", Registry.At.Value));
   }
@@ -326,7 +327,7 @@
   /// From then on targets have written again after the newest restore.
   TimePoint SettledAt;
   /// Dropped from the registry, not yet taken for gone.
-  std::set<VmId> Kept;
+  std::set<VmId> Retained;
   /// Some target told when it started.
   bool BirthsTold = false;
   /// By key, the hash of the newest value that was refused.
--- a/src/control/restored_entries.cpp
+++ b/src/control/restored_entries.cpp
@@ -8,7 +8,7 @@
 
 std::optional<EntryDoubt> RestoredEntries::doubtOf(const TargetInfo &Read,
                                                    const Fleet &Known) {
-  if (auto Gone = Known.Gone.find(Read.Id); Gone != Known.Gone.end())
+  if (auto Gone = Known.Removed.find(Read.Id); Gone != Known.Removed.end())
     return Gone->second.Last->Born == Read.Born
                ? std::optional(EntryDoubt::Gone)
                : std::nullopt;
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -176,7 +176,7 @@
     this->Board.Vitals.write([&](VitalsTable &Rows) { Rows.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Rows) {
       for (auto &[Model, Row] : Rows)
-        Row = Row.scaled(DemandKept);
+        Row = Row.scaled(DemandDecay);
     });
     if (++this->Sweeps % CallsToldEvery == 0)
       this->tellCalls();
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -90,7 +90,8 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const Serving &To, TimePoint ChosenAt) {
+  AttemptEnd attempt(RelayExchange &Ex, const ServingTarget &To,
+                     TimePoint ChosenAt) {
     RelayAttempt Try;
     Try.To = To;
     const VmLife Life = To.Target->life();
@@ -163,7 +164,7 @@
                                const RelayAttempt &Try) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
-        waitedBefore(*Request.Route, Request.Facts.Deadline) +
+        priorWait(*Request.Route, Request.Facts.Deadline) +
         std::chrono::duration_cast<Millis>(Try.SentAt - Request.Arrived);
     SendFacts Facts{
         Try.To.Target->Id, Request.Workspace,
--- a/src/entry/relay_attempt.h
+++ b/src/entry/relay_attempt.h
@@ -29,7 +29,7 @@
 
 /// One send: the target, the connection, and what is known of the answer.
 struct RelayAttempt {
-  Serving To;
+  ServingTarget To;
   std::optional<Channel> Connection;
   TimePoint SentAt;
   TimePoint LastByte;
--- a/src/entry/relay_choice.cpp
+++ b/src/entry/relay_choice.cpp
@@ -26,7 +26,7 @@
       ModelDemand &Row = Rows[Facts.Model];
       ++Row.Requests;
       Row.PromptTokens += static_cast<double>(Facts.PromptTokens);
-      Row.AnswerTokens += static_cast<double>(Facts.AnswerTokens);
+      Row.OutputTokens += static_cast<double>(Facts.AnswerTokens);
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Given = *this->Board.Config.Entry;
@@ -104,7 +104,7 @@
   Query.Random = mixHash(Request.Random, Run.Tried.size());
   return this->Board.Vitals.read(
       [&](const VitalsTable &Vitals) -> std::optional<ChosenTarget> {
-        const Serving *Row = chooseTarget(Rows->second, Vitals, Query);
+        const ServingTarget *Row = chooseTarget(Rows->second, Vitals, Query);
         if (!Row)
           return std::nullopt;
         return ChosenTarget{
--- a/src/entry/relay_choice.h
+++ b/src/entry/relay_choice.h
@@ -10,7 +10,7 @@
 
 /// A target, and what it was chosen by.
 struct ChosenTarget {
-  Serving To;
+  ServingTarget To;
   ChoiceBasis Basis;
 };
 
--- a/src/entry/relay_notes.cpp
+++ b/src/entry/relay_notes.cpp
@@ -60,7 +60,7 @@
                            .add("reason", Try.Reason));
 }
 
-void RelayNotes::done(const RelayExchange &Ex, const Serving &To,
+void RelayNotes::done(const RelayExchange &Ex, const ServingTarget &To,
                       AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
--- a/src/policy/centre_balance.cpp
+++ b/src/policy/centre_balance.cpp
@@ -67,9 +67,9 @@
   for (const auto &[Service, Rows] : View.ByService) {
     std::map<std::string, Tally> Near;
     std::map<std::string, Tally> All;
-    for (const Serving &Row : Rows) {
+    for (const ServingTarget &Row : Rows) {
       const VmLife Target = Row.Target->life();
-      if (Row.Kept || Vitals.isSuspect(Target, Now))
+      if (Row.Retained || Vitals.isSuspect(Target, Now))
         continue;
       double Requests = inFlight(Target, Vitals, Now);
       All[Row.Model].add(Requests);
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -38,11 +38,11 @@
 
 /// The mean of what this node measured of the model's targets; 0 where it
 /// measured none.
-double usualFirstByteMs(const std::vector<Serving> &Rows,
+double usualFirstByteMs(const std::vector<ServingTarget> &Rows,
                         const VitalsTable &Vitals, const std::string &Model) {
   double Sum = 0;
   int Measured = 0;
-  for (const Serving &Row : Rows) {
+  for (const ServingTarget &Row : Rows) {
     double Ms = Vitals.of(Row.Target->life()).FirstByteMs;
     if (Row.Model != Model || Ms == 0)
       continue;
@@ -69,7 +69,7 @@
   return Known;
 }
 
-double expectedWaitMs(const Serving &Row, const VitalsTable &Vitals,
+double expectedWaitMs(const ServingTarget &Row, const VitalsTable &Vitals,
                       const ChoiceQuery &Query, double Usual) {
   const VmLife Target = Row.Target->life();
   const TargetVitals &Seen = Vitals.of(Target);
@@ -84,32 +84,32 @@
 }
 
 /// Whether the target may be leaving, for all that is known.
-bool mayBeLeaving(const Serving &Row, const VitalsTable &Vitals,
+bool mayBeLeaving(const ServingTarget &Row, const VitalsTable &Vitals,
                   const ChoiceQuery &Query) {
-  return Row.Kept ||
+  return Row.Retained ||
          (Query.RegistryOld && Vitals.of(Row.Target->life()).Closing);
 }
 
 /// Whether a target of the model stays, so that none that may be leaving has
 /// to serve.
-bool anyStays(const std::vector<Serving> &Rows, const VitalsTable &Vitals,
+bool anyStays(const std::vector<ServingTarget> &Rows, const VitalsTable &Vitals,
               const ChoiceQuery &Query) {
-  return std::any_of(Rows.begin(), Rows.end(), [&](const Serving &Row) {
+  return std::any_of(Rows.begin(), Rows.end(), [&](const ServingTarget &Row) {
     return Row.Model == Query.Model && !mayBeLeaving(Row, Vitals, Query);
   });
 }
 
 } // namespace
 
-const Serving *chooseTarget(const std::vector<Serving> &Rows,
-                            const VitalsTable &Vitals,
-                            const ChoiceQuery &Query) {
-  const Serving *Best = nullptr;
+const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
+                                  const VitalsTable &Vitals,
+                                  const ChoiceQuery &Query) {
+  const ServingTarget *Best = nullptr;
   double BestWait = 0;
   double Usual = usualFirstByteMs(Rows, Vitals, Query.Model);
   bool Stays = anyStays(Rows, Vitals, Query);
   for (std::size_t I = 0; I < Rows.size(); ++I) {
-    const Serving &Row = Rows[I];
+    const ServingTarget &Row = Rows[I];
     if (Row.Model != Query.Model || isAvoided(Query, Row.Target->Id) ||
         (Stays && mayBeLeaving(Row, Vitals, Query)))
       continue;
--- a/src/policy/choice.h
+++ b/src/policy/choice.h
@@ -34,8 +34,8 @@
 /// away sends nothing to a target that has left. The same holds for one that
 /// closes its connections, where the registry cannot say whether it leaves;
 /// some close them for other reasons. Null where there is none.
-const Serving *chooseTarget(const std::vector<Serving> &Rows,
-                            const VitalsTable &Vitals,
-                            const ChoiceQuery &Query);
+const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
+                                  const VitalsTable &Vitals,
+                                  const ChoiceQuery &Query);
 
 } // namespace waycove
--- a/src/policy/domain_convert.cpp
+++ b/src/policy/domain_convert.cpp
@@ -25,18 +25,18 @@
 /// load of 12 s and more, and the demand waves. A fifth more or less of all
 /// requests leaves the ratio of losses as it is; of one model's alone it
 /// changes the loss by a factor of six.
-constexpr double ConvertGain = 0.5;
+constexpr double MinConversionGain = 0.5;
 /// A model gets VMs of others only where its groups are loaded by so much, for
 /// so long: below, no answer is late but by chance. Twelve groups at 0.74 kept
 /// every objective, with eight at 1.1 half were late.
 constexpr double BusyLoad = 0.78;
 /// While the weights load, callers may lose this much more than before.
-constexpr double MostLossMeanwhile = 1.5;
+constexpr double MaxInterimLoss = 1.5;
 /// After a group was seen to close: that it is gone shows in each owner's view
 /// 0.6 s later, that its VMs load about as long after that.
 constexpr Millis ConvertPause{2000};
 /// Of the load time, until VMs are used for whatever else is best.
-constexpr int EarmarkTimeFactor = 3;
+constexpr int ReservationTimeFactor = 3;
 
 std::size_t ceilOf(std::size_t Whole, std::size_t Part) {
   return (Whole + Part - 1) / Part;
@@ -45,8 +45,8 @@
 } // namespace
 
 /// Forgets earmarks of VMs that have their weights, went, or took too long.
-void DomainPlanner::keepEarmarks(const Step &S) {
-  std::erase_if(this->Earmarks, [&](const auto &Entry) {
+void DomainPlanner::expireReservations(const Step &S) {
+  std::erase_if(this->Reservations, [&](const auto &Entry) {
     const auto &[Life, Row] = Entry;
     if (S.View.Now > Row.Until)
       return true;
@@ -59,16 +59,16 @@
 }
 
 /// Whether the VM is to load another model than \p Model.
-bool DomainPlanner::isEarmarkedElse(const TargetInfo &Vm,
-                                    const ModelSpec &Model) const {
-  auto At = this->Earmarks.find(Vm.life());
-  return At != this->Earmarks.end() && At->second.Model != Model.Name;
+bool DomainPlanner::isReservedForOther(const TargetInfo &Vm,
+                                       const ModelSpec &Model) const {
+  auto At = this->Reservations.find(Vm.life());
+  return At != this->Reservations.end() && At->second.Model != Model.Name;
 }
 
-void DomainPlanner::convert(Step &S) {
-  if (S.View.AnyCloses)
-    this->ClosedAt = S.View.Now;
-  this->loadEarmarked(S);
+void DomainPlanner::convertGroups(Step &S) {
+  if (S.View.AnyGroupClosing)
+    this->LastClosingAt = S.View.Now;
+  this->loadReserved(S);
   if (!this->mayConvert(S))
     return;
   Conversion Next = this->bestConversion(S);
@@ -76,37 +76,37 @@
     return;
   auto Groups = this->openGroups(S, *Next.From);
   Groups.resize(Next.Closed);
-  TimePoint Until = S.View.Now + Next.To->LoadTime * EarmarkTimeFactor;
+  TimePoint Until = S.View.Now + Next.To->LoadTime * ReservationTimeFactor;
   for (const auto *Entry : Groups) {
     const auto &[Key, Row] = *Entry;
-    this->GivenUp.insert(Key);
-    this->order(S, OrderKind::Close, Row.Head, Key,
-                "its VMs are to serve " + Next.To->Name);
+    this->AbandonedGroups.insert(Key);
+    this->addOrder(S, OrderKind::Close, Row.Head, Key,
+                   "its VMs are to serve " + Next.To->Name);
     for (const auto &[Rank, Vm] : Row.Ranks)
-      this->Earmarks[Vm->life()] = {Next.To->Name, Until};
+      this->Reservations[Vm->life()] = {Next.To->Name, Until};
   }
-  this->ClosedAt = S.View.Now;
+  this->LastClosingAt = S.View.Now;
 }
 
 /// Whether all is quiet enough for a change: nothing forms here, no change is
 /// under way, no group was closing lately, and loads are to be had.
 bool DomainPlanner::mayConvert(const Step &S) const {
-  bool Loads = S.Engine.ModelsStagedPerHost > 0 && S.SpareLoadsLeft > 0 &&
-               S.View.LoadsAllowed < FreeLoads;
-  return Loads && this->Earmarks.empty() && this->Pending.empty() &&
-         S.View.Now - this->ClosedAt >= ConvertPause;
+  bool Loads = S.Engine.ModelsStagedPerHost > 0 && S.RemainingSpareLoads > 0 &&
+               S.View.LoadsAllowed < UnlimitedLoads;
+  return Loads && this->Reservations.empty() && this->Pending.empty() &&
+         S.View.Now - this->LastClosingAt >= ConvertPause;
 }
 
 /// Groups of \p Model that serve and may be closed.
-std::vector<const std::pair<const GroupKey, DomainPlanner::Announced> *>
+std::vector<const std::pair<const GroupKey, DomainPlanner::AnnouncedGroup> *>
 DomainPlanner::openGroups(const Step &S, const ModelSpec &Model) const {
-  std::vector<const std::pair<const GroupKey, Announced> *> Open;
+  std::vector<const std::pair<const GroupKey, AnnouncedGroup> *> Open;
   for (const auto &Entry : S.Groups) {
     const auto &[Key, Row] = Entry;
     if (Row.Head && Row.Head->Group->State == MemberState::Open &&
         !Row.AnyDraining && modelOf(Key.Name) == Model.Name &&
-        Row.Ranks.size() == Model.GroupSize && !this->GivenUp.contains(Key) &&
-        !isLoadGroup(Key.Name))
+        Row.Ranks.size() == Model.GroupSize &&
+        !this->AbandonedGroups.contains(Key) && !isLoadGroup(Key.Name))
       Open.push_back(&Entry);
   }
   return Open;
@@ -116,11 +116,11 @@
 /// where there is none.
 DomainPlanner::Conversion DomainPlanner::bestConversion(const Step &S) const {
   Conversion Best;
-  GroupCounts Now = S.own();
+  GroupCounts Now = S.ownGroups();
   double Loss = S.lossOf(Now);
-  Best.LossAfter = (1 - ConvertGain) * Loss;
+  Best.LossAfter = (1 - MinConversionGain) * Loss;
   for (const ModelSpec &From : S.Engine.Models) {
-    if (!S.View.MayGiveUp.contains(From.Name))
+    if (!S.View.ReleasableModels.contains(From.Name))
       continue;
     std::size_t Open = this->openGroups(S, From).size();
     for (const ModelSpec &To : S.Engine.Models) {
@@ -134,7 +134,7 @@
       After[To.Name] += static_cast<double>(Formed);
       double LossAfter = S.lossOf(After);
       if (LossAfter >= Best.LossAfter ||
-          S.lossOf(Meanwhile) > MostLossMeanwhile * Loss)
+          S.lossOf(Meanwhile) > MaxInterimLoss * Loss)
         continue;
       Best = {&From, &To, Closed, LossAfter};
     }
@@ -144,14 +144,14 @@
 
 /// Has VMs whose group gave way load their weights, each in a group of its own,
 /// in which all owners see that they do.
-void DomainPlanner::loadEarmarked(Step &S) {
+void DomainPlanner::loadReserved(Step &S) {
   for (const TargetRef &Vm : S.freeVms()) {
-    auto At = this->Earmarks.find(Vm->life());
-    if (At == this->Earmarks.end() || S.SpareLoadsLeft == 0)
+    auto At = this->Reservations.find(Vm->life());
+    if (At == this->Reservations.end() || S.RemainingSpareLoads == 0)
       continue;
-    --S.SpareLoadsLeft;
-    this->joinAlone(S, Vm, *S.Engine.model(At->second.Model),
-                    "its group gave way");
+    --S.RemainingSpareLoads;
+    this->joinLoadGroup(S, Vm, *S.Engine.model(At->second.Model),
+                        "its group gave way");
   }
 }
 
--- a/src/policy/domain_outlook.cpp
+++ b/src/policy/domain_forecast.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "policy/domain_outlook.h"
+#include "policy/domain_forecast.h"
 
 #include <algorithm>
 
@@ -54,17 +54,17 @@
 
 /// Counts whole groups, and adds the members of others to the loose VMs.
 GroupCounts countWhole(Sorted &Domain, const EngineSpec &Engine,
-                       DomainOutlook &Into) {
+                       DomainForecast &Into) {
   GroupCounts Groups;
   for (const auto &[Key, Rows] : Domain.Members) {
     const ModelSpec *Model = Engine.model(modelOf(Key.Name));
     bool Whole = Model && Rows.size() >= Model->GroupSize &&
                  std::none_of(Rows.begin(), Rows.end(), endsSoon);
-    Into.Closes |= anyHeadIn(Rows, MemberState::Closing);
+    Into.AnyGroupClosing |= anyHeadIn(Rows, MemberState::Closing);
     if (Whole) {
       ++Groups[Model->Name];
       if (anyHeadIn(Rows, MemberState::Open))
-        ++Into.Serving[Model->Name];
+        ++Into.ServingGroups[Model->Name];
       continue;
     }
     for (const TargetRef &Row : Rows)
@@ -108,11 +108,11 @@
 
 } // namespace
 
-std::map<DomainId, DomainOutlook>
-domainOutlooks(const std::vector<TargetRef> &Targets,
-               const EngineSpec &Engine) {
+std::map<DomainId, DomainForecast>
+forecastDomains(const std::vector<TargetRef> &Targets,
+                const EngineSpec &Engine) {
   std::map<DomainId, Sorted> Domains;
-  std::map<DomainId, DomainOutlook> Outlooks;
+  std::map<DomainId, DomainForecast> Outlooks;
   for (const TargetRef &Row : Targets) {
     Outlooks[Row->Domain].Centre = Row->DataCentre;
     if (Row->Group && !loadsAlone(Row))
@@ -121,7 +121,7 @@
       Domains[Row->Domain].Loose.push_back(Row);
   }
   for (auto &[Domain, Row] : Domains) {
-    DomainOutlook &Outlook = Outlooks[Domain];
+    DomainForecast &Outlook = Outlooks[Domain];
     Outlook.Groups = countWhole(Row, Engine, Outlook);
     takeLoose(Row, Engine, Outlook.Groups);
     Outlook.Trade = tradeOf(Row, Engine, Outlook.Groups);
--- a/src/policy/domain_outlook.h
+++ b/src/policy/domain_forecast.h
@@ -16,22 +16,23 @@
 /// groups that serve at this moment, all of them made up for the same lack. On
 /// a day with a quarter of 48 VMs unseen for 9 s that left 3 small groups
 /// beside 7 large ones.
-struct DomainOutlook {
+struct DomainForecast {
   DataCentreId Centre;
   /// Groups that serve, that form, and that loose VMs make; those that load
   /// weights alone count as having them.
   GroupCounts Groups;
   /// Of these, whole ones that are open.
-  GroupCounts Serving;
+  GroupCounts ServingGroups;
   /// A group is closing.
-  bool Closes = false;
+  bool AnyGroupClosing = false;
   /// How these change where its owner closes a small group, which with its
   /// loose VMs makes a large one. Empty where that is not possible.
   GroupCounts Trade;
 };
 
 /// The outlook of each domain among \p Targets, all VMs of one service.
-std::map<DomainId, DomainOutlook>
-domainOutlooks(const std::vector<TargetRef> &Targets, const EngineSpec &Engine);
+std::map<DomainId, DomainForecast>
+forecastDomains(const std::vector<TargetRef> &Targets,
+                const EngineSpec &Engine);
 
 } // namespace waycove
--- a/src/policy/domain_form.cpp
+++ b/src/policy/domain_form.cpp
@@ -48,64 +48,63 @@
 /// the plan's groups may lack weights that take 12 s and more to load, while
 /// those that are there make others: ten VMs rested for eight seconds so.
 void DomainPlanner::formMissing(Step &S) {
-  if (!S.anyServes() && !S.loadsFirst()) {
+  if (!S.anyServes() && !S.loadsBeforeForming()) {
     auto Usable = static_cast<std::size_t>(
         std::count_if(S.View.Targets.begin(), S.View.Targets.end(),
                       [&](const TargetRef &Row) { return S.isUsable(*Row); }));
-    S.Wanted = groupsFor(S.Engine, Usable, S.View.Turn);
-    for (const ModelSpec *Model : largestFirst(S.Engine))
-      while (S.lacks(*Model) && this->form(S, *Model))
-        ++S.Have[Model->Name];
+    S.Wanted = planGroupCounts(S.Engine, Usable, S.View.DomainIndex);
+    for (const ModelSpec *Model : modelsLargestFirst(S.Engine))
+      while (S.isShort(*Model) && this->formGroup(S, *Model))
+        ++S.OwnCounts[Model->Name];
     return;
   }
-  while (const ModelSpec *Model = this->bestNext(S)) {
-    if (!this->form(S, *Model))
+  while (const ModelSpec *Model = this->bestModelToForm(S)) {
+    if (!this->formGroup(S, *Model))
       return;
-    ++S.Have[Model->Name];
+    ++S.OwnCounts[Model->Name];
   }
 }
 
 /// The model of which one more group, of free VMs, serves callers best; null
 /// where none can form. Where it is better to close a smaller group for a
 /// larger one, that is done first, and nothing forms meanwhile.
-const ModelSpec *DomainPlanner::bestNext(Step &S) {
-  GroupCounts Now = S.own();
+const ModelSpec *DomainPlanner::bestModelToForm(Step &S) {
+  GroupCounts Now = S.ownGroups();
   GroupCounts BestCounts = Now;
   double Most = 0;
   const ModelSpec *Best = nullptr;
-  for (const ModelSpec *Model : largestFirst(S.Engine)) {
-    std::vector<TargetRef> Free = this->freeFor(S, *Model);
-    bool Forms =
-        Free.size() >= Model->GroupSize &&
-        (countWarm(Free, *Model) >= Model->GroupSize || !S.loadsFirst());
+  for (const ModelSpec *Model : modelsLargestFirst(S.Engine)) {
+    std::vector<TargetRef> Free = this->freeVmsFor(S, *Model);
+    bool Forms = Free.size() >= Model->GroupSize &&
+                 (countWarm(Free, *Model) >= Model->GroupSize ||
+                  !S.loadsBeforeForming());
     double Gain = S.gainOf(*Model, Now);
     bool Converts = countOwn(Free, *Model) < Model->GroupSize;
-    if (!Forms || Gain <= Most ||
-        (Converts && Gain < LeastGain * S.lossOf(Now)))
+    if (!Forms || Gain <= Most || (Converts && Gain < MinGain * S.lossOf(Now)))
       continue;
     Most = Gain;
     Best = Model;
     BestCounts = Now;
     ++BestCounts[Model->Name];
   }
-  for (const ModelSpec *Model : largestFirst(S.Engine))
-    if (this->giveUpSmaller(S, *Model, BestCounts))
+  for (const ModelSpec *Model : modelsLargestFirst(S.Engine))
+    if (this->preemptSmaller(S, *Model, BestCounts))
       return nullptr;
   return Best;
 }
 
 /// Free VMs but for those that are to load another model.
-std::vector<TargetRef> DomainPlanner::freeFor(const Step &S,
-                                              const ModelSpec &Model) const {
+std::vector<TargetRef> DomainPlanner::freeVmsFor(const Step &S,
+                                                 const ModelSpec &Model) const {
   std::vector<TargetRef> Free = S.freeVms();
   std::erase_if(Free, [&](const TargetRef &Vm) {
-    return this->isEarmarkedElse(*Vm, Model);
+    return this->isReservedForOther(*Vm, Model);
   });
   return Free;
 }
 
 /// Names a new group, above each epoch that was used or seen.
-GroupKey DomainPlanner::nextKey(const Step &S, const ModelSpec &Model) {
+GroupKey DomainPlanner::nextGroupKey(const Step &S, const ModelSpec &Model) {
   std::uint64_t Seen = S.View.EpochFloor;
   for (const TargetRef &Row : S.View.Targets)
     if (Row->Group)
@@ -116,12 +115,12 @@
 }
 
 /// Forms a group of \p Model of VMs that are free; false where it cannot.
-bool DomainPlanner::form(Step &S, const ModelSpec &Model) {
-  std::vector<TargetRef> Free = this->freeFor(S, Model);
+bool DomainPlanner::formGroup(Step &S, const ModelSpec &Model) {
+  std::vector<TargetRef> Free = this->freeVmsFor(S, Model);
   std::size_t Warm = countWarm(Free, Model);
   if (Free.size() < Model.GroupSize)
     return false;
-  if (Warm < Model.GroupSize && S.loadsFirst())
+  if (Warm < Model.GroupSize && S.loadsBeforeForming())
     return false;
   std::stable_sort(Free.begin(), Free.end(),
                    [&](const TargetRef &Left, const TargetRef &Right) {
@@ -138,11 +137,11 @@
 void DomainPlanner::orderJoins(Step &S, const ModelSpec &Model,
                                const std::vector<TargetRef> &Members,
                                unsigned Cold) {
-  GroupKey Key = this->nextKey(S, Model);
-  Forming Row{Model.Name,
-              {},
-              S.View.Now,
-              formLimit(Cold ? Model.LoadTime : Model.StagedLoadTime)};
+  GroupKey Key = this->nextGroupKey(S, Model);
+  FormingGroup Row{Model.Name,
+                   {},
+                   S.View.Now,
+                   formTimeout(Cold ? Model.LoadTime : Model.StagedLoadTime)};
   std::vector<VmId> Ids;
   for (const TargetRef &Vm : Members) {
     Row.Members.push_back(Vm->life());
@@ -160,17 +159,17 @@
 /// free, a group of \p Model without loading weights, if callers lose less then
 /// than with the groups \p Else, by far. True where one is closed, or still
 /// closing.
-bool DomainPlanner::giveUpSmaller(Step &S, const ModelSpec &Model,
-                                  const GroupCounts &Else) {
-  std::size_t Warm = countWarm(this->freeFor(S, Model), Model);
+bool DomainPlanner::preemptSmaller(Step &S, const ModelSpec &Model,
+                                   const GroupCounts &Else) {
+  std::size_t Warm = countWarm(this->freeVmsFor(S, Model), Model);
   if (Warm >= Model.GroupSize)
     return false;
-  const std::pair<const GroupKey, Announced> *Best = nullptr;
+  const std::pair<const GroupKey, AnnouncedGroup> *Best = nullptr;
   for (const auto &Entry : S.Groups) {
     const auto &[Key, Row] = Entry;
     const ModelSpec *Other = S.Engine.model(modelOf(Key.Name));
     if (!Row.Head || !Other || Other->GroupSize >= Model.GroupSize ||
-        this->HeadLeft.contains(Key))
+        this->LeftGroups.contains(Key))
       continue;
     auto Helps = static_cast<std::size_t>(
         std::count_if(Row.Ranks.begin(), Row.Ranks.end(), [&](const auto &R) {
@@ -179,21 +178,21 @@
     if (Warm + Helps < Model.GroupSize)
       continue;
     MemberState State = Row.Head->Group->State;
-    if (State == MemberState::Closing && this->GivenUp.contains(Key))
+    if (State == MemberState::Closing && this->AbandonedGroups.contains(Key))
       return true;
-    GroupCounts After = S.own();
+    GroupCounts After = S.ownGroups();
     ++After[Model.Name];
     --After[Other->Name];
     if (State == MemberState::Open && !Best &&
-        S.lossAfterTrades(After) < (1 - LeastGain) * S.lossAfterTrades(Else))
+        S.lossAfterTrades(After) < (1 - MinGain) * S.lossAfterTrades(Else))
       Best = &Entry;
   }
   if (!Best)
     return false;
   const auto &[Key, Row] = *Best;
-  this->GivenUp.insert(Key);
-  this->order(S, OrderKind::Close, Row.Head, Key,
-              "its VMs are needed for " + Model.Name);
+  this->AbandonedGroups.insert(Key);
+  this->addOrder(S, OrderKind::Close, Row.Head, Key,
+                 "its VMs are needed for " + Model.Name);
   return true;
 }
 
--- a/src/policy/domain_plan.cpp
+++ b/src/policy/domain_plan.cpp
@@ -37,17 +37,17 @@
   return "stage";
 }
 
-std::vector<unsigned> groupsFor(const EngineSpec &Engine, std::size_t Vms,
-                                std::size_t Turn) {
+std::vector<unsigned> planGroupCounts(const EngineSpec &Engine, std::size_t Vms,
+                                      std::size_t DomainIndex) {
   std::vector<unsigned> Counts(Engine.Models.size(), 0);
-  std::vector<const ModelSpec *> Order = largestFirst(Engine);
+  std::vector<const ModelSpec *> Order = modelsLargestFirst(Engine);
   std::size_t OneOfEach = 0;
   for (const ModelSpec *Row : Order)
     OneOfEach += Row->GroupSize;
   if (OneOfEach > Vms && !Order.empty())
     std::rotate(Order.begin(),
                 Order.begin() +
-                    static_cast<std::ptrdiff_t>(Turn % Order.size()),
+                    static_cast<std::ptrdiff_t>(DomainIndex % Order.size()),
                 Order.end());
   std::size_t Free = Vms;
   for (bool Any = true; Any;) {
@@ -64,57 +64,57 @@
 
 std::vector<GroupOrder> DomainPlanner::step(const DomainView &View,
                                             const EngineSpec &Engine) {
-  this->Questions.clear();
+  this->StatusQueries.clear();
   if (!this->isSettled(View))
     return {};
   Step S{View, Engine};
   unsigned Unseen = this->unseenLoads(S);
-  S.LoadsLeft = View.LoadsAllowed - std::min(View.LoadsAllowed, Unseen);
-  S.SpareLoadsLeft = View.LoadsSpare - std::min(View.LoadsSpare, Unseen);
+  S.RemainingLoads = View.LoadsAllowed - std::min(View.LoadsAllowed, Unseen);
+  S.RemainingSpareLoads = View.SpareLoads - std::min(View.SpareLoads, Unseen);
   S.Demand = View.Demand.empty() ? expectedDemand(Engine) : View.Demand;
   collect(S);
   for (const auto &[Key, Row] : S.Groups)
-    this->judge(S, Key, Row);
+    this->reviewGroup(S, Key, Row);
   this->dropStaleForming(S);
-  this->holdWarmUps(S);
-  this->keepEarmarks(S);
+  this->trackWarmUps(S);
+  this->expireReservations(S);
   this->formMissing(S);
-  this->convert(S);
+  this->convertGroups(S);
   this->stageMissing(S);
   this->stageSpares(S);
-  this->warmReserves(S);
+  this->warmUpReserves(S);
   return std::move(S.Orders);
 }
 
-void DomainPlanner::onLeft(const GroupOrder &Order) {
+void DomainPlanner::onLeaveConfirmed(const GroupOrder &Order) {
   bool WasHead = Order.To->Group && Order.To->Group->Group == Order.Group &&
                  Order.To->Group->Rank == 0;
   if (WasHead)
-    this->HeadLeft.insert(Order.Group);
+    this->LeftGroups.insert(Order.Group);
   else
-    this->MemberLeft.insert({Order.Group, Order.To->life()});
+    this->LeftMembers.insert({Order.Group, Order.To->life()});
 }
 
 bool DomainPlanner::isSettled(const DomainView &View) {
   bool Formed =
       std::any_of(View.Targets.begin(), View.Targets.end(),
                   [](const TargetRef &Row) { return Row->Group.has_value(); });
-  if (this->Began || Formed)
-    return this->Began = true;
-  if (View.Targets.size() != this->SeenTargets) {
-    this->SeenTargets = View.Targets.size();
-    this->SettledAt = View.Now;
+  if (this->Started || Formed)
+    return this->Started = true;
+  if (View.Targets.size() != this->SeenTargetCount) {
+    this->SeenTargetCount = View.Targets.size();
+    this->TargetsChangedAt = View.Now;
   }
-  this->Began =
-      this->SeenTargets > 0 && View.Now - this->SettledAt > SettleTime;
-  return this->Began;
+  this->Started = this->SeenTargetCount > 0 &&
+                  View.Now - this->TargetsChangedAt > SettleTime;
+  return this->Started;
 }
 
 void DomainPlanner::collect(Step &S) {
   for (const TargetRef &Row : S.View.Targets) {
-    if (!Row->Group || S.View.Lost.contains(Row->life()))
+    if (!Row->Group || S.View.PresumedDead.contains(Row->life()))
       continue;
-    Announced &Into = S.Groups[Row->Group->Group];
+    AnnouncedGroup &Into = S.Groups[Row->Group->Group];
     Into.Ranks[Row->Group->Rank] = Row;
     if (Row->Group->Rank == 0)
       Into.Head = Row;
@@ -123,10 +123,10 @@
   }
 }
 
-void DomainPlanner::order(Step &S, OrderKind Kind, const TargetRef &To,
-                          const GroupKey &Group, const std::string &Reason,
-                          const std::string &Model) {
-  TimePoint &Last = this->LastOrder[{Group, Kind, To->life()}];
+void DomainPlanner::addOrder(Step &S, OrderKind Kind, const TargetRef &To,
+                             const GroupKey &Group, const std::string &Reason,
+                             const std::string &Model) {
+  TimePoint &Last = this->LastOrderAt[{Group, Kind, To->life()}];
   if (Last != TimePoint() && S.View.Now - Last < RepeatTime)
     return;
   Last = S.View.Now;
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -29,7 +29,7 @@
 };
 
 /// What is known of a group's member whose registry entry went.
-enum class MemberFate {
+enum class MemberStatus {
   /// Nobody asked it yet, or the answer is not in.
   Unknown,
   /// It answers, and is still in the group.
@@ -40,10 +40,10 @@
 
 /// A new owner of a domain plans no sooner: what the last one ordered shows in
 /// the registry within about 0.6 s, and other views lag a little more.
-inline constexpr Millis TakeoverWait{1000};
+inline constexpr Millis TakeoverDelay{1000};
 
 /// Loads allowed where they are not bounded.
-inline constexpr unsigned FreeLoads = 1000;
+inline constexpr unsigned UnlimitedLoads = 1000;
 
 /// How a domain looks in one planning step.
 struct DomainView {
@@ -51,47 +51,48 @@
   ServiceId Service;
   /// Its place among all domains of the service, so that domains too small for
   /// all models share these out.
-  std::size_t Turn = 0;
+  std::size_t DomainIndex = 0;
   /// All listed targets of the domain.
   std::vector<TargetRef> Targets;
   /// Those that went lately.
-  std::vector<GoneTarget> Gone;
+  std::vector<RemovedTarget> Removed;
   /// Fates of members that went, as far as asked.
-  std::map<VmLife, MemberFate> Fates;
+  std::map<VmLife, MemberStatus> Statuses;
   /// Groups that serve now, by model, over all domains.
-  std::map<std::string, unsigned> Serving;
-  /// Groups of the other domains, by model, as domainOutlooks() says.
-  GroupCounts Elsewhere;
+  std::map<std::string, unsigned> ServingGroups;
+  /// Groups of the other domains, by model, as forecastDomains() says.
+  GroupCounts OtherGroups;
   /// Of these, the ones in this domain's data centre, and how many data centres
   /// have VMs of the service.
-  GroupCounts ElsewhereInCentre;
-  std::size_t Centres = 1;
+  GroupCounts OtherGroupsInCentre;
+  std::size_t CentreCount = 1;
   /// How Elsewhere changes where the domains before this one close small groups
   /// for large ones. Each owner takes it that those before it do, so that not
   /// all of them make up for the same lack.
-  GroupCounts TradesBefore;
+  GroupCounts EarlierTrades;
   /// Listed targets that do not answer while their group's head stands still:
   /// taken for dead, ahead of the registry.
-  std::set<VmLife> Lost;
+  std::set<VmLife> PresumedDead;
   /// Orders carry epochs above this: the owner's fence.
   std::uint64_t EpochFloor = 0;
   /// Groups with epochs up to this were formed before this ownership began.
-  std::uint64_t OwnedFloor = 0;
+  std::uint64_t PriorEpochMax = 0;
   /// What callers ask of each model in a second, over all nodes; empty where
   /// only operators' figures are known.
   DemandTable Demand;
-  /// Loads of weights from the shared store whose turn it is, as loadTurns()
-  /// says, within the owner's LoadBudget; FreeLoads where they are not bounded.
+  /// Loads of weights from the shared store whose turn it is, as
+  /// scheduleLoads() says, within the owner's LoadBudget; UnlimitedLoads where
+  /// they are not bounded.
   unsigned LoadsAllowed = 0;
   /// Further loads that the store serves at full speed.
-  unsigned LoadsSpare = 0;
+  unsigned SpareLoads = 0;
   /// Models of which no other domain has more groups that serve, or as many
   /// and comes first: where such groups are to give way, this one begins.
-  std::set<std::string> MayGiveUp;
+  std::set<std::string> ReleasableModels;
   /// In some domain a group is closing.
-  bool AnyCloses = false;
+  bool AnyGroupClosing = false;
   /// For so long after a member was seen to drain its group goes on.
-  Millis DrainHold{0};
+  Millis DrainGracePeriod{0};
   TimePoint Now;
 };
 
@@ -117,51 +118,55 @@
                                const EngineSpec &Engine);
   /// The target of \p Order, a Leave, is no longer in that group. Where it was
   /// the head, all members are free.
-  void onLeft(const GroupOrder &Order);
+  void onLeaveConfirmed(const GroupOrder &Order);
   /// Members that went and whose fate has to be asked.
-  const std::vector<GoneTarget> &askAfter() const { return this->Questions; }
+  const std::vector<RemovedTarget> &statusQueries() const {
+    return this->StatusQueries;
+  }
 
 private:
   /// A group as its members announce it.
-  struct Announced {
+  struct AnnouncedGroup {
     std::map<unsigned, TargetRef> Ranks;
     TargetRef Head;
     bool AnyDraining = false;
     bool AllReady = true;
   };
   /// A group that this planner ordered and that is not open yet.
-  struct Forming {
+  struct FormingGroup {
     std::string Model;
     std::vector<VmLife> Members;
     TimePoint Since;
-    Millis Limit{0};
+    Millis Timeout{0};
   };
   struct Step;
 
   static void collect(Step &S);
-  void judge(Step &S, const GroupKey &Key, const Announced &Row);
-  MemberFate fateOf(const Step &S, const GoneTarget &Row);
-  bool isWhole(Step &S, const GroupKey &Key, const Announced &Row,
-               std::size_t Size);
-  bool servesOn(const Step &S, const GroupKey &Key, const Announced &Row);
-  void judgeHeadless(Step &S, const GroupKey &Key, const Announced &Row);
-  void judgeForming(Step &S, const GroupKey &Key, const Announced &Row);
-  void release(Step &S, const GroupKey &Key, const Announced &Row,
+  void reviewGroup(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  MemberStatus statusOf(const Step &S, const RemovedTarget &Row);
+  bool isComplete(Step &S, const GroupKey &Key, const AnnouncedGroup &Row,
+                  std::size_t Size);
+  bool servesWhileDraining(const Step &S, const GroupKey &Key,
+                           const AnnouncedGroup &Row);
+  void reviewHeadless(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  void reviewForming(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  void release(Step &S, const GroupKey &Key, const AnnouncedGroup &Row,
                const std::string &Reason);
-  void releaseEach(Step &S, const GroupKey &Key, const Announced &Row);
+  void releaseMembers(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
   void dropStaleForming(Step &S);
   void formMissing(Step &S);
-  std::vector<TargetRef> freeFor(const Step &S, const ModelSpec &Model) const;
-  GroupKey nextKey(const Step &S, const ModelSpec &Model);
-  bool form(Step &S, const ModelSpec &Model);
+  std::vector<TargetRef> freeVmsFor(const Step &S,
+                                    const ModelSpec &Model) const;
+  GroupKey nextGroupKey(const Step &S, const ModelSpec &Model);
+  bool formGroup(Step &S, const ModelSpec &Model);
   void orderJoins(Step &S, const ModelSpec &Model,
                   const std::vector<TargetRef> &Members, unsigned Cold);
-  const ModelSpec *bestNext(Step &S);
-  bool giveUpSmaller(Step &S, const ModelSpec &Model, const GroupCounts &Else);
-  void convert(Step &S);
+  const ModelSpec *bestModelToForm(Step &S);
+  bool preemptSmaller(Step &S, const ModelSpec &Model, const GroupCounts &Else);
+  void convertGroups(Step &S);
   bool mayConvert(const Step &S) const;
-  void keepEarmarks(const Step &S);
-  void loadEarmarked(Step &S);
+  void expireReservations(const Step &S);
+  void loadReserved(Step &S);
   /// Groups of one model that give way to others.
   struct Conversion {
     const ModelSpec *From = nullptr;
@@ -170,14 +175,14 @@
     double LossAfter = 0;
   };
   Conversion bestConversion(const Step &S) const;
-  std::vector<const std::pair<const GroupKey, Announced> *>
+  std::vector<const std::pair<const GroupKey, AnnouncedGroup> *>
   openGroups(const Step &S, const ModelSpec &Model) const;
-  bool isEarmarkedElse(const TargetInfo &Vm, const ModelSpec &Model) const;
-  void warmReserves(Step &S);
-  void joinAlone(Step &S, const TargetRef &Vm, const ModelSpec &Model,
-                 const std::string &Reason);
-  bool judgeWarmUp(Step &S, const GroupKey &Key, const Announced &Row);
-  void holdWarmUps(Step &S);
+  bool isReservedForOther(const TargetInfo &Vm, const ModelSpec &Model) const;
+  void warmUpReserves(Step &S);
+  void joinLoadGroup(Step &S, const TargetRef &Vm, const ModelSpec &Model,
+                     const std::string &Reason);
+  bool reviewWarmUp(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  void trackWarmUps(Step &S);
   void stageMissing(Step &S);
   void stageSpares(Step &S);
   /// A group to load weights for.
@@ -188,32 +193,33 @@
   std::vector<TargetRef> loadingVms(const Step &S) const;
   std::optional<int> loadRankOf(const TargetInfo &Vm,
                                 const ModelSpec &Model) const;
-  LoadPlan bestLoads(const Step &S, const GroupCounts &Now,
-                     const std::vector<TargetRef> &Vms) const;
-  static std::vector<const Announced *>
+  LoadPlan bestLoadPlan(const Step &S, const GroupCounts &Now,
+                        const std::vector<TargetRef> &Vms) const;
+  static std::vector<const AnnouncedGroup *>
   donorsFor(const Step &S, const ModelSpec &Large, std::size_t Free);
   unsigned unseenLoads(const Step &S) const;
-  int loadsUnderWay(const Step &S) const;
-  bool takeLoad(Step &S, int AtOnce);
-  void stage(Step &S, const TargetRef &Vm, const ModelSpec &Model, int AtOnce);
+  int runningLoads(const Step &S) const;
+  bool tryStartLoad(Step &S, int AtOnce);
+  void stageModel(Step &S, const TargetRef &Vm, const ModelSpec &Model,
+                  int AtOnce);
   /// Gives an order, unless the same was given a short while ago.
-  void order(Step &S, OrderKind Kind, const TargetRef &To,
-             const GroupKey &Group, const std::string &Reason,
-             const std::string &Model = std::string());
+  void addOrder(Step &S, OrderKind Kind, const TargetRef &To,
+                const GroupKey &Group, const std::string &Reason,
+                const std::string &Model = std::string());
   bool isSettled(const DomainView &View);
 
-  std::map<GroupKey, Forming> Pending;
+  std::map<GroupKey, FormingGroup> Pending;
   /// Groups whose head took the order to leave.
-  std::set<GroupKey> HeadLeft;
+  std::set<GroupKey> LeftGroups;
   /// Members of groups without head that took the order to leave.
-  std::set<std::pair<GroupKey, VmLife>> MemberLeft;
+  std::set<std::pair<GroupKey, VmLife>> LeftMembers;
   /// Groups that did not form in time; never opened by this planner.
-  std::set<GroupKey> GivenUp;
+  std::set<GroupKey> AbandonedGroups;
   /// Since when a member of the group drains.
-  std::map<GroupKey, TimePoint> DrainsSince;
-  std::map<std::tuple<GroupKey, OrderKind, VmLife>, TimePoint> LastOrder;
+  std::map<GroupKey, TimePoint> DrainingSince;
+  std::map<std::tuple<GroupKey, OrderKind, VmLife>, TimePoint> LastOrderAt;
   /// When weights were ordered onto a host, by model.
-  std::map<std::pair<VmLife, std::string>, TimePoint> Staging;
+  std::map<std::pair<VmLife, std::string>, TimePoint> StagingOrderedAt;
   /// A group of one VM that only loads its weights.
   struct WarmUp {
     VmLife Vm;
@@ -222,30 +228,30 @@
     bool Cold = false;
   };
   std::map<GroupKey, WarmUp> WarmUps;
-  std::set<VmLife> WarmTried;
+  std::set<VmLife> WarmUpTried;
   /// VMs whose group gave way, the model that they are to load, and until when.
-  struct Earmark {
+  struct ModelReservation {
     std::string Model;
     TimePoint Until;
   };
-  std::map<VmLife, Earmark> Earmarks;
+  std::map<VmLife, ModelReservation> Reservations;
   /// When a group was last seen to close anywhere.
-  TimePoint ClosedAt;
+  TimePoint LastClosingAt;
   /// Since when each VM that is free has been so.
   std::map<VmLife, TimePoint> FreeSince;
-  std::vector<GoneTarget> Questions;
+  std::vector<RemovedTarget> StatusQueries;
   std::uint64_t LastEpoch = 0;
-  std::size_t SeenTargets = 0;
-  TimePoint SettledAt;
-  bool Began = false;
+  std::size_t SeenTargetCount = 0;
+  TimePoint TargetsChangedAt;
+  bool Started = false;
 };
 
 /// How many groups of each model \p Vms make, the models in the order of
 /// \p Engine: one of each in turn, the largest first, while they fit. Groups of
 /// smaller models are the reserve of larger ones: their hosts have the larger
 /// model staged, and are taken where a group of it lost a member. Where not one
-/// of each fits, domains begin with different models, by their \p Turn.
-std::vector<unsigned> groupsFor(const EngineSpec &Engine, std::size_t Vms,
-                                std::size_t Turn = 0);
+/// of each fits, domains begin with different models, by their \p DomainIndex.
+std::vector<unsigned> planGroupCounts(const EngineSpec &Engine, std::size_t Vms,
+                                      std::size_t DomainIndex = 0);
 
 } // namespace waycove
--- a/src/policy/domain_judge.cpp
+++ b/src/policy/domain_review.cpp
@@ -11,148 +11,151 @@
 
 namespace waycove {
 
-void DomainPlanner::judge(Step &S, const GroupKey &Key, const Announced &Row) {
+void DomainPlanner::reviewGroup(Step &S, const GroupKey &Key,
+                                const AnnouncedGroup &Row) {
   bool Serves = Row.Head && (Row.Head->Group->State == MemberState::Open ||
                              Row.Head->Group->State == MemberState::Closing);
-  if (this->HeadLeft.contains(Key) || this->judgeWarmUp(S, Key, Row))
+  if (this->LeftGroups.contains(Key) || this->reviewWarmUp(S, Key, Row))
     return;
-  if (this->GivenUp.contains(Key) && !Serves)
+  if (this->AbandonedGroups.contains(Key) && !Serves)
     return this->release(S, Key, Row, "given up");
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
   std::size_t Size = Model ? Model->GroupSize : 0;
   if (!Row.Head)
-    return this->judgeHeadless(S, Key, Row);
-  bool Whole = this->isWhole(S, Key, Row, Size);
+    return this->reviewHeadless(S, Key, Row);
+  bool Whole = this->isComplete(S, Key, Row, Size);
   MemberState State = Row.Head->Group->State;
   if (State == MemberState::Broken)
     return;
   if (!Serves)
-    return this->judgeForming(S, Key, Row);
+    return this->reviewForming(S, Key, Row);
   // The head serves: nobody of the group may be taken.
-  S.hold(Row);
+  S.markBusy(Row);
   this->Pending.erase(Key);
-  if (Whole && (!Row.AnyDraining || this->servesOn(S, Key, Row))) {
-    ++S.Have[Model->Name];
+  if (Whole && (!Row.AnyDraining || this->servesWhileDraining(S, Key, Row))) {
+    ++S.OwnCounts[Model->Name];
     return;
   }
   OrderKind Kind = Whole ? OrderKind::Close : OrderKind::Leave;
   if (Kind == OrderKind::Close && State == MemberState::Closing)
     return;
-  this->order(S, Kind, Row.Head, Key,
-              Whole ? "a member drains" : "a member is gone");
+  this->addOrder(S, Kind, Row.Head, Key,
+                 Whole ? "a member drains" : "a member is gone");
 }
 
 /// Whether a group of which a member drains, but not the head, is to take
 /// requests for a while yet: the member serves on for a known time. Closing at
 /// once lost that time for each VM that operators replace, some 1.5 s of four
 /// VMs each.
-bool DomainPlanner::servesOn(const Step &S, const GroupKey &Key,
-                             const Announced &Row) {
+bool DomainPlanner::servesWhileDraining(const Step &S, const GroupKey &Key,
+                                        const AnnouncedGroup &Row) {
   if (Row.Head->Draining || Row.Head->Group->State != MemberState::Open)
     return false;
   TimePoint Since =
-      this->DrainsSince.try_emplace(Key, S.View.Now).first->second;
-  return S.View.Now - Since < S.View.DrainHold;
+      this->DrainingSince.try_emplace(Key, S.View.Now).first->second;
+  return S.View.Now - Since < S.View.DrainGracePeriod;
 }
 
-MemberFate DomainPlanner::fateOf(const Step &S, const GoneTarget &Row) {
+MemberStatus DomainPlanner::statusOf(const Step &S, const RemovedTarget &Row) {
   // Asked for as long as it matters: who is cut off now may die later.
-  this->Questions.push_back(Row);
-  auto At = S.View.Fates.find(Row.Last->life());
-  return At == S.View.Fates.end() ? MemberFate::Unknown : At->second;
+  this->StatusQueries.push_back(Row);
+  auto At = S.View.Statuses.find(Row.Last->life());
+  return At == S.View.Statuses.end() ? MemberStatus::Unknown : At->second;
 }
 
 /// Whether all members are there, counting those that are only cut off from
 /// the registry, and those of which that is not known yet.
-bool DomainPlanner::isWhole(Step &S, const GroupKey &Key, const Announced &Row,
-                            std::size_t Size) {
+bool DomainPlanner::isComplete(Step &S, const GroupKey &Key,
+                               const AnnouncedGroup &Row, std::size_t Size) {
   std::size_t Present = Row.Ranks.size();
   if (Present < Size && Row.Head->Group->State == MemberState::Open)
-    for (const GoneTarget &Gone : S.View.Gone)
-      if (Gone.Last->Group && Gone.Last->Group->Group == Key &&
-          !Row.Ranks.contains(Gone.Last->Group->Rank) &&
-          this->fateOf(S, Gone) != MemberFate::Dead)
+    for (const RemovedTarget &Removed : S.View.Removed)
+      if (Removed.Last->Group && Removed.Last->Group->Group == Key &&
+          !Row.Ranks.contains(Removed.Last->Group->Rank) &&
+          this->statusOf(S, Removed) != MemberStatus::Dead)
         ++Present;
   return Present >= Size;
 }
 
-void DomainPlanner::judgeHeadless(Step &S, const GroupKey &Key,
-                                  const Announced &Row) {
+void DomainPlanner::reviewHeadless(Step &S, const GroupKey &Key,
+                                   const AnnouncedGroup &Row) {
   if (this->Pending.contains(Key))
-    return this->judgeForming(S, Key, Row);
-  auto Head = std::find_if(
-      S.View.Gone.begin(), S.View.Gone.end(), [&](const GoneTarget &Gone) {
-        return Gone.Last->Group && Gone.Last->Group->Group == Key &&
-               Gone.Last->Group->Rank == 0;
-      });
+    return this->reviewForming(S, Key, Row);
+  auto Head = std::find_if(S.View.Removed.begin(), S.View.Removed.end(),
+                           [&](const RemovedTarget &Removed) {
+                             return Removed.Last->Group &&
+                                    Removed.Last->Group->Group == Key &&
+                                    Removed.Last->Group->Rank == 0;
+                           });
   // Listed but lost, moved to another group, or never seen: nobody to ask.
-  if (Head == S.View.Gone.end())
-    return this->releaseEach(S, Key, Row);
-  MemberFate Fate = this->fateOf(S, *Head);
-  if (Fate == MemberFate::Dead)
-    return this->releaseEach(S, Key, Row);
-  S.hold(Row);
-  if (Fate == MemberFate::Alive)
-    this->order(S, OrderKind::Leave, Head->Last, Key,
-                "its entry in the registry is gone");
+  if (Head == S.View.Removed.end())
+    return this->releaseMembers(S, Key, Row);
+  MemberStatus Fate = this->statusOf(S, *Head);
+  if (Fate == MemberStatus::Dead)
+    return this->releaseMembers(S, Key, Row);
+  S.markBusy(Row);
+  if (Fate == MemberStatus::Alive)
+    this->addOrder(S, OrderKind::Leave, Head->Last, Key,
+                   "its entry in the registry is gone");
 }
 
 /// Frees the members of a group whose head cannot be told to leave.
-void DomainPlanner::releaseEach(Step &S, const GroupKey &Key,
-                                const Announced &Row) {
+void DomainPlanner::releaseMembers(Step &S, const GroupKey &Key,
+                                   const AnnouncedGroup &Row) {
   for (const auto &[Rank, Vm] : Row.Ranks) {
-    if (this->MemberLeft.contains({Key, Vm->life()}))
+    if (this->LeftMembers.contains({Key, Vm->life()}))
       continue;
     S.Busy.insert(Vm->life());
-    this->order(S, OrderKind::Leave, Vm, Key, "its head is lost");
+    this->addOrder(S, OrderKind::Leave, Vm, Key, "its head is lost");
   }
 }
 
-void DomainPlanner::judgeForming(Step &S, const GroupKey &Key,
-                                 const Announced &Row) {
+void DomainPlanner::reviewForming(Step &S, const GroupKey &Key,
+                                  const AnnouncedGroup &Row) {
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
   if (!Model || Row.AnyDraining)
     return this->release(S, Key, Row, "a member drains");
   bool Whole = Row.Ranks.size() == Model->GroupSize;
   auto Mine = this->Pending.find(Key);
-  if (Whole && Row.AllReady && Key.Epoch <= S.View.OwnedFloor)
+  if (Whole && Row.AllReady && Key.Epoch <= S.View.PriorEpochMax)
     return this->release(S, Key, Row, "formed by an earlier owner");
   if (Whole && Row.AllReady) {
-    S.hold(Row);
-    ++S.Have[Model->Name];
-    this->order(S, OrderKind::Open, Row.Head, Key, "all are ready",
-                Model->Name);
+    S.markBusy(Row);
+    ++S.OwnCounts[Model->Name];
+    this->addOrder(S, OrderKind::Open, Row.Head, Key, "all are ready",
+                   Model->Name);
     return;
   }
   TimePoint Now = S.View.Now;
   if (Mine == this->Pending.end()) {
     // An earlier owner's, still loading: give it time once.
-    Forming Adopted{Model->Name, {}, Now, formLimit(Model->LoadTime)};
+    FormingGroup Adopted{Model->Name, {}, Now, formTimeout(Model->LoadTime)};
     for (const auto &[Rank, Vm] : Row.Ranks)
       Adopted.Members.push_back(Vm->life());
     if (!Whole)
-      Adopted.Limit = ShowTime;
+      Adopted.Timeout = OrderVisibilityTimeout;
     Mine = this->Pending.emplace(Key, std::move(Adopted)).first;
   }
-  bool Shown = Whole || Now - Mine->second.Since < ShowTime;
-  if (!Shown || Now - Mine->second.Since > Mine->second.Limit) {
+  bool Shown = Whole || Now - Mine->second.Since < OrderVisibilityTimeout;
+  if (!Shown || Now - Mine->second.Since > Mine->second.Timeout) {
     this->Pending.erase(Mine);
-    this->GivenUp.insert(Key);
+    this->AbandonedGroups.insert(Key);
     return this->release(S, Key, Row, "it does not form in time");
   }
-  S.hold(Row);
+  S.markBusy(Row);
 }
 
 /// Frees the members of a group that does not serve. An order to open it may
 /// still be on its way to the head, so the head has to leave first.
-void DomainPlanner::release(Step &S, const GroupKey &Key, const Announced &Row,
+void DomainPlanner::release(Step &S, const GroupKey &Key,
+                            const AnnouncedGroup &Row,
                             const std::string &Reason) {
   if (!Row.Head)
-    return this->releaseEach(S, Key, Row);
+    return this->releaseMembers(S, Key, Row);
   if (Row.Head->Group->State == MemberState::Broken)
     return;
-  S.hold(Row);
-  this->order(S, OrderKind::Leave, Row.Head, Key, Reason);
+  S.markBusy(Row);
+  this->addOrder(S, OrderKind::Leave, Row.Head, Key, Reason);
 }
 
 /// Members that were ordered and do not show it yet are kept back too; a
@@ -166,9 +169,10 @@
                            return T->life() == Life && S.isUsable(*T);
                          });
     };
-    bool Late = !S.Groups.contains(Key) && S.View.Now - Row.Since > ShowTime;
+    bool Late = !S.Groups.contains(Key) &&
+                S.View.Now - Row.Since > OrderVisibilityTimeout;
     if (Late || !std::all_of(Row.Members.begin(), Row.Members.end(), Listed)) {
-      this->GivenUp.insert(Key);
+      this->AbandonedGroups.insert(Key);
       return true;
     }
     for (const VmLife &Life : Row.Members)
@@ -176,7 +180,7 @@
     auto Shown = S.Groups.find(Key);
     if (Shown == S.Groups.end() || !Shown->second.AllReady ||
         Shown->second.Ranks.size() != Row.Members.size())
-      ++S.Have[Row.Model];
+      ++S.OwnCounts[Row.Model];
     return false;
   });
 }
--- a/src/policy/domain_stage.cpp
+++ b/src/policy/domain_stage.cpp
@@ -35,11 +35,11 @@
 
 /// The groups of smaller models whose hosts are to hold \p Large besides,
 /// where \p Free VMs are free.
-std::vector<const DomainPlanner::Announced *>
+std::vector<const DomainPlanner::AnnouncedGroup *>
 DomainPlanner::donorsFor(const Step &S, const ModelSpec &Large,
                          std::size_t Free) {
   std::size_t Wanted = Free >= FewReserves ? DonorsBesideReserves : DonorsAlone;
-  std::vector<const Announced *> Donors;
+  std::vector<const AnnouncedGroup *> Donors;
   for (const auto &[Key, Group] : S.Groups) {
     const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
     if (Donors.size() < Wanted && Model && Model->GroupSize < Large.GroupSize &&
@@ -67,7 +67,7 @@
 /// loads them, 1 with none, 2 with others; nothing where it loads others.
 std::optional<int> DomainPlanner::loadRankOf(const TargetInfo &Vm,
                                              const ModelSpec &Model) const {
-  if (this->isEarmarkedElse(Vm, Model))
+  if (this->isReservedForOther(Vm, Model))
     return std::nullopt;
   for (const auto &[Key, Row] : this->WarmUps)
     if (Row.Vm == Vm.life())
@@ -81,11 +81,11 @@
 /// the time that its loads take together. Its VMs with the weights come first,
 /// then those without any. Empty members where none fits.
 DomainPlanner::LoadPlan
-DomainPlanner::bestLoads(const Step &S, const GroupCounts &Now,
-                         const std::vector<TargetRef> &Vms) const {
+DomainPlanner::bestLoadPlan(const Step &S, const GroupCounts &Now,
+                            const std::vector<TargetRef> &Vms) const {
   LoadPlan Best;
   double BestRate = 0;
-  for (const ModelSpec *Model : largestFirst(S.Engine)) {
+  for (const ModelSpec *Model : modelsLargestFirst(S.Engine)) {
     std::vector<std::pair<int, TargetRef>> Ranked;
     for (const TargetRef &Row : Vms)
       if (std::optional<int> Rank = this->loadRankOf(*Row, *Model))
@@ -123,9 +123,9 @@
   std::vector<TargetRef> Vms = S.freeVms();
   std::vector<TargetRef> Loading = this->loadingVms(S);
   Vms.insert(Vms.end(), Loading.begin(), Loading.end());
-  GroupCounts Groups = S.own();
+  GroupCounts Groups = S.ownGroups();
   while (true) {
-    LoadPlan Plan = this->bestLoads(S, Groups, Vms);
+    LoadPlan Plan = this->bestLoadPlan(S, Groups, Vms);
     if (!Plan.Model)
       return;
     ++Groups[Plan.Model->Name];
@@ -134,7 +134,7 @@
       bool Comes =
           std::find(Loading.begin(), Loading.end(), Row) != Loading.end();
       if (!Comes && !Row->hasLoaded(Plan.Model->Name))
-        this->stage(S, Row, *Plan.Model, MissingLoadsAtOnce);
+        this->stageModel(S, Row, *Plan.Model, MissingLoadsAtOnce);
     }
   }
 }
@@ -143,13 +143,13 @@
 /// models hold the largest besides: its repair takes them. Free VMs are the
 /// reserve of the smaller models then, and else of the largest.
 void DomainPlanner::stageSpares(Step &S) {
-  std::vector<const ModelSpec *> Models = largestFirst(S.Engine);
+  std::vector<const ModelSpec *> Models = modelsLargestFirst(S.Engine);
   if (S.Engine.ModelsStagedPerHost == 0 || Models.empty())
     return;
   std::vector<TargetRef> Free = S.freeVms();
   const ModelSpec &Large = *Models.front();
   const ModelSpec &Small = *Models.back();
-  std::vector<const Announced *> Donors = donorsFor(S, Large, Free.size());
+  std::vector<const AnnouncedGroup *> Donors = donorsFor(S, Large, Free.size());
   std::map<std::string, int> Reserves;
   for (const TargetRef &Row : Free)
     for (const ModelSpec *Model : Models)
@@ -166,41 +166,42 @@
                         : Reserves[Small.Name] < Reserves[Large.Name];
     const ModelSpec &Next = ForSmall ? Small : Large;
     ++Reserves[Next.Name];
-    this->stage(S, Row, Next, MissingLoadsAtOnce);
+    this->stageModel(S, Row, Next, MissingLoadsAtOnce);
   }
-  for (const Announced *Donor : Donors)
+  for (const AnnouncedGroup *Donor : Donors)
     for (const auto &[Rank, Vm] : Donor->Ranks)
-      this->stage(S, Vm, Large, StagingsAtOnce);
+      this->stageModel(S, Vm, Large, StagingsAtOnce);
 }
 
 /// Loads from the shared store that were ordered and that the registry may not
-/// show yet, so that loadTurns() counts them once more.
+/// show yet, so that scheduleLoads() counts them once more.
 unsigned DomainPlanner::unseenLoads(const Step &S) const {
   auto Unseen = [&](TimePoint Since) {
-    return Since != TimePoint() && S.View.Now - Since < ShowTime;
+    return Since != TimePoint() && S.View.Now - Since < OrderVisibilityTimeout;
   };
   auto Alone = std::count_if(
       this->WarmUps.begin(), this->WarmUps.end(), [&](const auto &Entry) {
         return Entry.second.Cold && Unseen(Entry.second.Since) &&
                !S.Groups.contains(Entry.first);
       });
-  auto Staged =
-      std::count_if(this->Staging.begin(), this->Staging.end(),
-                    [&](const auto &Entry) { return Unseen(Entry.second); });
+  auto Staged = std::count_if(
+      this->StagingOrderedAt.begin(), this->StagingOrderedAt.end(),
+      [&](const auto &Entry) { return Unseen(Entry.second); });
   return static_cast<unsigned>(Alone + Staged);
 }
 
 /// Loads of this domain that run, for all that was ordered.
-int DomainPlanner::loadsUnderWay(const Step &S) const {
+int DomainPlanner::runningLoads(const Step &S) const {
   auto Runs = [&](const std::string &Name, TimePoint Since) {
     const ModelSpec *Model = S.Engine.model(Name);
     return Model && Since != TimePoint() &&
            S.View.Now - Since < Model->LoadTime;
   };
-  auto Staged = std::count_if(this->Staging.begin(), this->Staging.end(),
-                              [&](const auto &Entry) {
-                                return Runs(Entry.first.second, Entry.second);
-                              });
+  auto Staged =
+      std::count_if(this->StagingOrderedAt.begin(),
+                    this->StagingOrderedAt.end(), [&](const auto &Entry) {
+                      return Runs(Entry.first.second, Entry.second);
+                    });
   auto Alone = std::count_if(
       this->WarmUps.begin(), this->WarmUps.end(), [&](const auto &Entry) {
         return Entry.second.Cold &&
@@ -211,29 +212,29 @@
 
 /// Whether a load may begin, and counts it: in its turn, and so that \p AtOnce
 /// run in the domain.
-bool DomainPlanner::takeLoad(Step &S, int AtOnce) {
-  if (S.View.LoadsAllowed >= FreeLoads)
+bool DomainPlanner::tryStartLoad(Step &S, int AtOnce) {
+  if (S.View.LoadsAllowed >= UnlimitedLoads)
     return true;
-  if (S.LoadsLeft == 0 || this->loadsUnderWay(S) >= AtOnce)
+  if (S.RemainingLoads == 0 || this->runningLoads(S) >= AtOnce)
     return false;
-  --S.LoadsLeft;
+  --S.RemainingLoads;
   return true;
 }
 
 /// Has the host load the weights unless that is done, under way, or may not
 /// begin yet. A VM that is in no group joins one of its own for that, which
 /// shows all owners that it loads; the host of a member is staged beside it.
-void DomainPlanner::stage(Step &S, const TargetRef &Vm, const ModelSpec &Model,
-                          int AtOnce) {
+void DomainPlanner::stageModel(Step &S, const TargetRef &Vm,
+                               const ModelSpec &Model, int AtOnce) {
   if (!S.isUsable(*Vm) || Vm->hasStaged(Model.Name))
     return;
-  TimePoint &At = this->Staging[{Vm->life(), Model.Name}];
+  TimePoint &At = this->StagingOrderedAt[{Vm->life(), Model.Name}];
   if (At != TimePoint() && S.View.Now - At < Model.LoadTime * StageTimeFactor)
     return;
-  if (!this->takeLoad(S, AtOnce))
+  if (!this->tryStartLoad(S, AtOnce))
     return;
   if (!Vm->Group) {
-    this->joinAlone(S, Vm, Model, "it loads its weights");
+    this->joinLoadGroup(S, Vm, Model, "it loads its weights");
     return;
   }
   At = S.View.Now;
--- a/src/policy/domain_step.cpp
+++ b/src/policy/domain_step.cpp
@@ -16,11 +16,11 @@
 /// Part of the time for which a data centre counts as cut off. On a day with
 /// one such cut of 6 s in 41, a centre without any group of a model lost all of
 /// that model's callers there meanwhile, 4 in 100 of the day's.
-constexpr double CutOffPart = 0.05;
+constexpr double PartitionProbability = 0.05;
 
 } // namespace
 
-std::vector<const ModelSpec *> largestFirst(const EngineSpec &Engine) {
+std::vector<const ModelSpec *> modelsLargestFirst(const EngineSpec &Engine) {
   std::vector<const ModelSpec *> Rows;
   for (const ModelSpec &Row : Engine.Models)
     Rows.push_back(&Row);
@@ -31,28 +31,28 @@
   return Rows;
 }
 
-Millis formLimit(Millis LoadTime) {
+Millis formTimeout(Millis LoadTime) {
   return LoadTime * LoadTimeFactor + FormSlack;
 }
 
-GroupCounts DomainPlanner::Step::own() const {
+GroupCounts DomainPlanner::Step::ownGroups() const {
   GroupCounts Own;
-  for (const auto &[Model, Count] : this->Have)
+  for (const auto &[Model, Count] : this->OwnCounts)
     Own[Model] = Count;
   return Own;
 }
 
 double DomainPlanner::Step::lossOf(const GroupCounts &Own) const {
-  return this->lossWith(this->View.Elsewhere, Own);
+  return this->lossWith(this->View.OtherGroups, Own);
 }
 
 double DomainPlanner::Step::loadOf(const ModelSpec &Model,
                                    const GroupCounts &Own) const {
   auto Asked = this->Demand.find(Model.Name);
   auto Here = Own.find(Model.Name);
-  auto There = this->View.Elsewhere.find(Model.Name);
+  auto There = this->View.OtherGroups.find(Model.Name);
   double Groups = (Here == Own.end() ? 0 : Here->second) +
-                  (There == this->View.Elsewhere.end() ? 0 : There->second);
+                  (There == this->View.OtherGroups.end() ? 0 : There->second);
   return Asked == this->Demand.end()
              ? 0
              : groupLoad(this->Engine, Model, Asked->second, Groups);
@@ -67,32 +67,33 @@
     auto At = Groups.find(Model.Name);
     return At == Groups.end() ? 0.0 : At->second;
   };
-  double Has = Count(Own) + Count(this->View.Elsewhere);
+  double Has = Count(Own) + Count(this->View.OtherGroups);
   double Gain = modelLoss(this->Engine, Model, Asked->second, Has) -
                 modelLoss(this->Engine, Model, Asked->second, Has + 1);
-  if (Count(Own) + Count(this->View.ElsewhereInCentre) < 1)
+  if (Count(Own) + Count(this->View.OtherGroupsInCentre) < 1)
     Gain += this->cutOffLoss(Asked->second);
   return Gain;
 }
 
 /// What callers of a model lose that has no group in this data centre.
 double DomainPlanner::Step::cutOffLoss(const ModelDemand &Asked) const {
-  if (this->View.Centres < 2)
+  if (this->View.CentreCount < 2)
     return 0;
-  return CutOffPart * Asked.work() / static_cast<double>(this->View.Centres);
+  return PartitionProbability * Asked.weightedTokens() /
+         static_cast<double>(this->View.CentreCount);
 }
 
 double DomainPlanner::Step::lossAfterTrades(const GroupCounts &Own) const {
-  GroupCounts Elsewhere = this->View.Elsewhere;
-  for (const auto &[Model, Change] : this->View.TradesBefore)
-    Elsewhere[Model] = std::max(0.0, Elsewhere[Model] + Change);
-  return this->lossWith(Elsewhere, Own);
+  GroupCounts OtherGroups = this->View.OtherGroups;
+  for (const auto &[Model, Change] : this->View.EarlierTrades)
+    OtherGroups[Model] = std::max(0.0, OtherGroups[Model] + Change);
+  return this->lossWith(OtherGroups, Own);
 }
 
-double DomainPlanner::Step::lossWith(const GroupCounts &Elsewhere,
+double DomainPlanner::Step::lossWith(const GroupCounts &OtherGroups,
                                      const GroupCounts &Own) const {
-  GroupCounts All = Elsewhere;
-  GroupCounts Centre = this->View.ElsewhereInCentre;
+  GroupCounts All = OtherGroups;
+  GroupCounts Centre = this->View.OtherGroupsInCentre;
   for (const auto &[Model, Count] : Own) {
     All[Model] += Count;
     Centre[Model] += Count;
@@ -107,23 +108,23 @@
 bool DomainPlanner::Step::anyServes() const {
   return std::any_of(this->Engine.Models.begin(), this->Engine.Models.end(),
                      [&](const ModelSpec &Model) {
-                       return this->View.Serving.contains(Model.Name);
+                       return this->View.ServingGroups.contains(Model.Name);
                      });
 }
 
 bool DomainPlanner::Step::isUsable(const TargetInfo &Row) const {
-  return !Row.Draining && !this->View.Lost.contains(Row.life());
+  return !Row.Draining && !this->View.PresumedDead.contains(Row.life());
 }
 
-bool DomainPlanner::Step::lacks(const ModelSpec &Model) const {
+bool DomainPlanner::Step::isShort(const ModelSpec &Model) const {
   auto Index = static_cast<std::size_t>(&Model - this->Engine.Models.data());
-  auto At = this->Have.find(Model.Name);
-  return (At == this->Have.end() ? 0 : At->second) < this->Wanted[Index];
+  auto At = this->OwnCounts.find(Model.Name);
+  return (At == this->OwnCounts.end() ? 0 : At->second) < this->Wanted[Index];
 }
 
-bool DomainPlanner::Step::loadsFirst() const {
+bool DomainPlanner::Step::loadsBeforeForming() const {
   return this->Engine.ModelsStagedPerHost > 0 &&
-         this->View.LoadsAllowed < FreeLoads;
+         this->View.LoadsAllowed < UnlimitedLoads;
 }
 
 std::vector<TargetRef> DomainPlanner::Step::freeVms() const {
@@ -134,7 +135,7 @@
   return Free;
 }
 
-void DomainPlanner::Step::hold(const Announced &Row) {
+void DomainPlanner::Step::markBusy(const AnnouncedGroup &Row) {
   for (const auto &[Rank, Vm] : Row.Ranks)
     this->Busy.insert(Vm->life());
 }
--- a/src/policy/domain_warm.cpp
+++ b/src/policy/domain_warm.cpp
@@ -8,7 +8,7 @@
 // and leaves it when its weights are loaded.
 
 #include "policy/domain_step.h"
-#include "policy/load_turns.h"
+#include "policy/load_schedule.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
 
 /// Orders reserves that never ran a model to load the one that their hosts have
 /// staged. Each is tried once.
-void DomainPlanner::warmReserves(Step &S) {
+void DomainPlanner::warmUpReserves(Step &S) {
   std::map<VmLife, TimePoint> Since;
   for (const TargetRef &Row : S.freeVms()) {
     auto Before = this->FreeSince.find(Row->life());
@@ -38,17 +38,17 @@
         S.Engine.Models.begin(), S.Engine.Models.end(),
         [&](const ModelSpec &Each) { return Row->hasStaged(Each.Name); });
     if (Model != S.Engine.Models.end() &&
-        this->WarmTried.insert(Row->life()).second)
-      this->joinAlone(S, Row, *Model, "a reserve is kept loaded");
+        this->WarmUpTried.insert(Row->life()).second)
+      this->joinLoadGroup(S, Row, *Model, "a reserve is kept loaded");
   }
   this->FreeSince = std::move(Since);
 }
 
 /// Orders \p Vm to join a group of its own.
-void DomainPlanner::joinAlone(Step &S, const TargetRef &Vm,
-                              const ModelSpec &Model,
-                              const std::string &Reason) {
-  GroupKey Key = this->nextKey(S, Model);
+void DomainPlanner::joinLoadGroup(Step &S, const TargetRef &Vm,
+                                  const ModelSpec &Model,
+                                  const std::string &Reason) {
+  GroupKey Key = this->nextGroupKey(S, Model);
   Key.Name = loadGroupName(Model.Name, S.View.Domain, Key.Epoch);
   bool Cold = !Vm->hasStaged(Model.Name) && !Vm->hasLoaded(Model.Name);
   this->WarmUps[Key] = {Vm->life(), S.View.Now, Cold};
@@ -58,8 +58,8 @@
 
 /// Whether \p Key is such a group, of this owner or an earlier one; it is left
 /// as soon as its VM is ready, or where that takes too long.
-bool DomainPlanner::judgeWarmUp(Step &S, const GroupKey &Key,
-                                const Announced &Row) {
+bool DomainPlanner::reviewWarmUp(Step &S, const GroupKey &Key,
+                                 const AnnouncedGroup &Row) {
   if (!isLoadGroup(Key.Name) || !Row.Head)
     return false;
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
@@ -67,26 +67,26 @@
                       .try_emplace(Key, WarmUp{Row.Head->life(), S.View.Now,
                                                isLoading(*Row.Head)})
                       .first->second;
-  Millis Limit = !Model       ? Millis(0)
-                 : Entry.Cold ? formLimit(Model->LoadTime)
-                              : formLimit(Model->StagedLoadTime);
-  bool Late = S.View.Now - Entry.Since > Limit;
+  Millis Timeout = !Model       ? Millis(0)
+                   : Entry.Cold ? formTimeout(Model->LoadTime)
+                                : formTimeout(Model->StagedLoadTime);
+  bool Late = S.View.Now - Entry.Since > Timeout;
   if (Row.AllReady || Late)
     this->release(S, Key, Row, Row.AllReady ? "it is loaded" : "it loads late");
   else
-    S.hold(Row);
+    S.markBusy(Row);
   return true;
 }
 
 /// VMs that were ordered into such a group and do not show it yet are not free;
 /// an order that is lost is forgotten.
-void DomainPlanner::holdWarmUps(Step &S) {
+void DomainPlanner::trackWarmUps(Step &S) {
   std::erase_if(this->WarmUps, [&](const auto &Entry) {
     const auto &[Key, Row] = Entry;
     if (S.Groups.contains(Key))
       return false;
-    bool Awaited =
-        !this->HeadLeft.contains(Key) && S.View.Now - Row.Since < ShowTime;
+    bool Awaited = !this->LeftGroups.contains(Key) &&
+                   S.View.Now - Row.Since < OrderVisibilityTimeout;
     if (Awaited)
       S.Busy.insert(Row.Vm);
     return !Awaited;
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -35,7 +35,7 @@
   RanksByGroup Ranks;
   for (const auto &[Id, Row] : Targets.Targets)
     addRank(*Row, Ranks);
-  for (const auto &[Id, Row] : Targets.Gone)
+  for (const auto &[Id, Row] : Targets.Removed)
     addRank(*Row.Last, Ranks);
   return Ranks;
 }
@@ -92,12 +92,12 @@
     const ServiceSpec *Spec = Config.service(Row->Service);
     if (!Spec || Row->Draining)
       continue;
-    bool Kept = Targets.Kept.contains(Id);
+    bool Retained = Targets.Retained.contains(Id);
     if (!Spec->hasGroups())
-      View->ByService[Row->Service].push_back({Row, "", Kept});
+      View->ByService[Row->Service].push_back({Row, "", Retained});
     else if (isServingHead(*Row, *Spec->Engine, Ranks))
       View->ByService[Row->Service].push_back(
-          {Row, modelOf(Row->Group->Group.Name), Kept});
+          {Row, modelOf(Row->Group->Group.Name), Retained});
   }
   return View;
 }
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -60,7 +60,7 @@
 using TargetRef = std::shared_ptr<const TargetInfo>;
 
 /// A target that was listed until lately.
-struct GoneTarget {
+struct RemovedTarget {
   TargetRef Last;
   TimePoint Since;
 };
@@ -70,9 +70,9 @@
   std::map<VmId, TargetRef> Targets;
   /// Of these, those that went while the store was away: their entries may have
   /// lapsed and come back, or they may have left.
-  std::set<VmId> Kept;
+  std::set<VmId> Retained;
   /// Those that went a short while ago: a group's head may serve on unseen.
-  std::map<VmId, GoneTarget> Gone;
+  std::map<VmId, RemovedTarget> Removed;
   /// Rises with each change.
   std::uint64_t Version = 0;
   /// End of the registry's records that this shows; the same on all nodes.
@@ -93,17 +93,17 @@
 
 /// A target that takes requests: a plain one, or the head of a whole, open
 /// group.
-struct Serving {
+struct ServingTarget {
   TargetRef Target;
   /// Empty for plain services.
   std::string Model;
   /// Its entry is missing: it is used only where nothing else serves.
-  bool Kept = false;
+  bool Retained = false;
 };
 
 /// What requests choose from, by service. Built anew after each change.
 struct ServingView {
-  std::map<ServiceId, std::vector<Serving>> ByService;
+  std::map<ServiceId, std::vector<ServingTarget>> ByService;
   std::uint64_t FleetVersion = 0;
   /// As in the fleet that it was built from.
   StorePosition Registry;
--- a/src/policy/group_load.cpp
+++ b/src/policy/group_load.cpp
@@ -14,18 +14,18 @@
 constexpr double MillisPerSecond = 1000;
 /// A model without group counts as this part of one: a loss that is finite, so
 /// that what is lost of others still counts.
-constexpr double NoGroup = 0.2;
+constexpr double GroupsWhenNone = 0.2;
 /// Of the load, in the loss. Seen on 48 VMs with two models: at a load of 0.58
 /// nine in ten first events kept their objective, at 0.73 and more the median
 /// missed it.
-constexpr double LossPower = 10;
+constexpr double LossExponent = 10;
 
 /// Requests below which a node's own count says nothing.
-constexpr double FewRequests = 20;
+constexpr double MinRequests = 20;
 /// A node's part of the requests is no smaller than this.
-constexpr double LeastPart = 1e-4;
+constexpr double MinRequestFraction = 1e-4;
 /// What a model that nobody asks for keeps of its expected part.
-constexpr double UnaskedPart = 0.03;
+constexpr double UnusedModelFraction = 0.03;
 
 bool statesSpeed(const EngineSpec &Engine) {
   return Engine.ReadTokensPerSecond > 0 && Engine.StepMillisPerRequest > 0;
@@ -33,26 +33,26 @@
 
 } // namespace
 
-double tokenMillis(const EngineSpec &Engine) {
+double outputTokenMillis(const EngineSpec &Engine) {
   double Shared = Engine.Slots > 0 ? Engine.StepMillis / Engine.Slots : 0;
   return Shared + Engine.StepMillisPerRequest;
 }
 
 double groupLoad(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups) {
-  double Count = std::max(Groups, NoGroup);
+  double Count = std::max(Groups, GroupsWhenNone);
   if (!statesSpeed(Engine))
-    return Demand.work() * Model.TimeFactor / Count;
+    return Demand.weightedTokens() * Model.TimeFactor / Count;
   return Model.TimeFactor *
          (Demand.PromptTokens / Engine.ReadTokensPerSecond +
-          Demand.AnswerTokens * tokenMillis(Engine) / MillisPerSecond) /
+          Demand.OutputTokens * outputTokenMillis(Engine) / MillisPerSecond) /
          Count;
 }
 
 double modelLoss(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups) {
   double Load = groupLoad(Engine, Model, Demand, Groups);
-  return Demand.work() * std::pow(Load, LossPower);
+  return Demand.weightedTokens() * std::pow(Load, LossExponent);
 }
 
 double serviceLoss(const EngineSpec &Engine, const DemandTable &Demand,
@@ -74,22 +74,23 @@
   for (const auto &[Model, Row] : Counted) {
     All.Requests += Row.Requests;
     All.PromptTokens += Row.PromptTokens;
-    All.AnswerTokens += Row.AnswerTokens;
+    All.OutputTokens += Row.OutputTokens;
   }
-  if (All.Requests < FewRequests)
+  if (All.Requests < MinRequests)
     return expectedDemand(Engine);
-  double Longer = Engine.UsualAnswer > 0 && All.AnswerTokens > 0
-                      ? Engine.UsualAnswer * All.Requests / All.AnswerTokens
+  double Longer = Engine.UsualAnswer > 0 && All.OutputTokens > 0
+                      ? Engine.UsualAnswer * All.Requests / All.OutputTokens
                       : 1;
   // A sum that keeps a part each second holds this many seconds.
-  double Seconds = 1 / (1 - DemandKept);
-  double Scale = 1 / (Seconds * std::max(Part, LeastPart));
+  double Seconds = 1 / (1 - DemandDecay);
+  double Scale = 1 / (Seconds * std::max(Part, MinRequestFraction));
   DemandTable Rates;
   for (const ModelSpec &Model : Engine.Models) {
     auto At = Counted.find(Model.Name);
     ModelDemand Row = At == Counted.end() ? ModelDemand{} : At->second;
-    Row.AnswerTokens *= Longer;
-    Row.PromptTokens += UnaskedPart * Model.WorkShare * All.PromptTokens;
+    Row.OutputTokens *= Longer;
+    Row.PromptTokens +=
+        UnusedModelFraction * Model.WorkShare * All.PromptTokens;
     Rates[Model.Name] = Row.scaled(Scale);
   }
   return Rates;
--- a/src/policy/group_load.h
+++ b/src/policy/group_load.h
@@ -16,24 +16,24 @@
   double Requests = 0;
   double PromptTokens = 0;
   /// As far as callers and operators tell it ahead.
-  double AnswerTokens = 0;
+  double OutputTokens = 0;
 
   void add(const ModelDemand &Other) {
     this->Requests += Other.Requests;
     this->PromptTokens += Other.PromptTokens;
-    this->AnswerTokens += Other.AnswerTokens;
+    this->OutputTokens += Other.OutputTokens;
   }
   ModelDemand scaled(double Factor) const {
     return {this->Requests * Factor, this->PromptTokens * Factor,
-            this->AnswerTokens * Factor};
+            this->OutputTokens * Factor};
   }
   /// In tokens of a prompt; a token of an answer costs an engine about ten.
-  double work() const {
-    return this->PromptTokens + AnswerTokenWeight * this->AnswerTokens;
+  double weightedTokens() const {
+    return this->PromptTokens + OutputTokenWeight * this->OutputTokens;
   }
 
 private:
-  static constexpr double AnswerTokenWeight = 10;
+  static constexpr double OutputTokenWeight = 10;
 };
 
 /// By model.
@@ -41,7 +41,7 @@
 
 /// Part of the counted demand that still counts a second later: about the last
 /// ten seconds weigh.
-inline constexpr double DemandKept = 0.9;
+inline constexpr double DemandDecay = 0.9;
 
 /// The demand of a second over all nodes, from what was counted at nodes whose
 /// part of the requests is \p Part. What callers say of their answers' length
@@ -56,7 +56,7 @@
 /// Of a group whose slots are all taken, the time that a token of an answer
 /// takes, in milliseconds: its part of the step that all share, and what it
 /// makes that longer.
-double tokenMillis(const EngineSpec &Engine);
+double outputTokenMillis(const EngineSpec &Engine);
 
 /// How loaded each of \p Groups groups of \p Model is when they share
 /// \p Demand: their rate as a part of that at which all slots are taken. A
--- a/src/policy/load_turns.cpp
+++ b/src/policy/load_schedule.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "policy/load_turns.h"
+#include "policy/load_schedule.h"
 
 #include <algorithm>
 #include <set>
@@ -105,12 +105,12 @@
   return !Row.hasStaged(Model) && !Row.hasLoaded(Model);
 }
 
-LoadTurns loadTurns(const std::vector<TargetRef> &Targets,
-                    const EngineSpec &Engine) {
+LoadSchedule scheduleLoads(const std::vector<TargetRef> &Targets,
+                           const EngineSpec &Engine) {
   Survey All = surveyOf(Targets, Engine);
   std::size_t Free = Engine.LoadsAtOnce -
                      std::min<std::size_t>(Engine.LoadsAtOnce, All.Loading);
-  LoadTurns Turns;
+  LoadSchedule Turns;
   auto Give = [&](const DomainId &Domain, std::size_t Wanted) {
     std::size_t Given = std::min(Wanted, Free);
     Free -= Given;
@@ -136,7 +136,7 @@
     std::size_t Has = Given == Turns.ByDomain.end() ? 0 : Given->second;
     Give(Domain, Row.Empty - std::min(Row.Empty, Has) + (Calm ? 1 : 0));
   }
-  Turns.Spare = static_cast<unsigned>(Free);
+  Turns.SpareLoads = static_cast<unsigned>(Free);
   return Turns;
 }
 
--- a/src/policy/load_turns.h
+++ b/src/policy/load_schedule.h
@@ -12,10 +12,10 @@
 namespace waycove {
 
 /// Loads that may begin now.
-struct LoadTurns {
+struct LoadSchedule {
   std::map<DomainId, unsigned> ByDomain;
   /// Beyond these, as many as the store still serves at full speed.
-  unsigned Spare = 0;
+  unsigned SpareLoads = 0;
 };
 
 /// How many loads of weights from the shared store each domain may begin now.
@@ -28,8 +28,8 @@
 /// it loads: it is joining a group whose weights its host does not hold.
 ///
 /// \p Targets: all VMs of one service.
-LoadTurns loadTurns(const std::vector<TargetRef> &Targets,
-                    const EngineSpec &Engine);
+LoadSchedule scheduleLoads(const std::vector<TargetRef> &Targets,
+                           const EngineSpec &Engine);
 
 /// Whether the VM reads weights from the shared store, for a group that it
 /// joins.
--- a/src/policy/urgency.cpp
+++ b/src/policy/urgency.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 /// Least time that a first byte takes on an idle target. Measured: 140 ms.
-constexpr Millis LeastServing(100);
+constexpr Millis MinFirstByteTime(100);
 
 } // namespace
 
-Millis waitedBefore(const HttpRoute &Route, std::optional<Millis> TimeLeft) {
+Millis priorWait(const HttpRoute &Route, std::optional<Millis> TimeLeft) {
   if (!TimeLeft || Route.Timeout.count() <= 0)
     return Millis(0);
   return std::max(Millis(0), Route.Timeout - *TimeLeft);
@@ -24,7 +24,7 @@
 unsigned urgencyOf(const HttpRoute &Route, const KeyOwner *Owner,
                    Millis Waited) {
   unsigned Rank = Owner && Owner->Priority ? *Owner->Priority : Route.Priority;
-  bool Late = Route.Goal.count() > 0 && Waited + LeastServing > Route.Goal;
+  bool Late = Route.Goal.count() > 0 && Waited + MinFirstByteTime > Route.Goal;
   return std::min(2 * Rank + (Late ? 1U : 0U), LeastUrgent);
 }
 
--- a/src/policy/urgency.h
+++ b/src/policy/urgency.h
@@ -14,7 +14,7 @@
 /// How long a caller has waited already when its request came, as far as it
 /// can be told: callers of a route have its whole time at first, and less when
 /// they come back. Zero where callers have less time than the route anyway.
-Millis waitedBefore(const HttpRoute &Route, std::optional<Millis> TimeLeft);
+Millis priorWait(const HttpRoute &Route, std::optional<Millis> TimeLeft);
 
 /// How urgent a send is to a target, from 0, which goes first, to
 /// LeastUrgent. The operators' rank decides; of the same rank, requests that
--- a/src/wire/news_frames.cpp
+++ b/src/wire/news_frames.cpp
@@ -125,7 +125,7 @@
     Rows.back()->model = Model;
     Rows.back()->requests = static_cast<float>(Asked.Requests);
     Rows.back()->prompt_tokens = static_cast<float>(Asked.PromptTokens);
-    Rows.back()->answer_tokens = static_cast<float>(Asked.AnswerTokens);
+    Rows.back()->answer_tokens = static_cast<float>(Asked.OutputTokens);
   }
   return Rows;
 }
--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -75,7 +75,7 @@
   Target.Born = WallMs(1);
   // It was listed as it started long ago; what answers has started since.
   CHECK(Control.reach(Target) == Reach::Ended);
-  CHECK(Control.ask(Target) == MemberFate::Dead);
+  CHECK(Control.ask(Target) == MemberStatus::Dead);
   Target.Born = WallMs();
   CHECK(Control.reach(Target) == Reach::Answers);
   auto Other = std::make_shared<TargetInfo>(Target);
--- a/tests/property/domain_plan_property.cpp
+++ b/tests/property/domain_plan_property.cpp
@@ -157,8 +157,8 @@
       // One in three is the old one, restarted: its generation stays.
       this->Generation += static_cast<std::uint64_t>(roll(3));
       this->Planner = DomainPlanner();
-      this->OwnedFloor = std::max(this->Generation << 20, this->seenEpoch());
-      this->MayPlanAt = this->Now + TakeoverWait;
+      this->PriorEpochMax = std::max(this->Generation << 20, this->seenEpoch());
+      this->MayPlanAt = this->Now + TakeoverDelay;
       // The new owner's view may lag more than the old one's.
       this->Lag = 5;
       break;
@@ -332,7 +332,7 @@
       } else if (There) {
         // The dead still show what they said last.
         Shown.push_back(this->listed(Row));
-        this->Gone.erase(Row.Id);
+        this->Removed.erase(Row.Id);
         this->LastShown[Row.Id] = Shown.back();
       }
     }
@@ -340,8 +340,8 @@
       const VmId &Id = Entry.first;
       bool There = std::any_of(Shown.begin(), Shown.end(),
                                [&](const auto &R) { return R->Id == Id; });
-      if (!There && !this->Gone.contains(Id))
-        this->Gone[Id] = {Entry.second, this->Now};
+      if (!There && !this->Removed.contains(Id))
+        this->Removed[Id] = {Entry.second, this->Now};
     }
     this->Registry.push_back(Shown);
     if (this->Registry.size() > 8)
@@ -359,22 +359,22 @@
         std::min<std::size_t>({this->Lag + 1, static_cast<std::size_t>(roll(6)),
                                this->Registry.size() - 1});
     View.Targets = this->Registry[this->Registry.size() - 1 - this->Lag];
-    for (const auto &[Id, Row] : this->Gone)
-      View.Gone.push_back(Row);
-    for (const auto &[Id, Row] : this->Gone) {
+    for (const auto &[Id, Row] : this->Removed)
+      View.Removed.push_back(Row);
+    for (const auto &[Id, Row] : this->Removed) {
       WorldVm *Vm = this->find(Id);
       bool Answers = Vm && Vm->Group && Row.Last->Group &&
                      Vm->Group->Group == Row.Last->Group->Group;
       // One that is cut off from the owner too counts as dead.
       VmLife Life = Row.Last->life();
-      View.Fates[Life] = Answers && this->lifeOf(*Vm) == Life &&
-                                 !this->WronglyLost.contains(Life)
-                             ? MemberFate::Alive
-                             : MemberFate::Dead;
+      View.Statuses[Life] = Answers && this->lifeOf(*Vm) == Life &&
+                                    !this->WronglyLost.contains(Life)
+                                ? MemberStatus::Alive
+                                : MemberStatus::Dead;
     }
-    View.Lost = this->WronglyLost;
-    View.EpochFloor = std::max(this->Generation << 20, this->OwnedFloor);
-    View.OwnedFloor = this->OwnedFloor;
+    View.PresumedDead = this->WronglyLost;
+    View.EpochFloor = std::max(this->Generation << 20, this->PriorEpochMax);
+    View.PriorEpochMax = this->PriorEpochMax;
     View.LoadsAllowed = 100;
     for (const GroupOrder &Row : this->Planner.step(View, this->Engine))
       this->send(Row);
@@ -393,7 +393,7 @@
     this->note(How > 4 ? "done" : "unanswered", Order, Status);
     bool Answered = How > 4 && Status != 0;
     if (Answered && Order.Kind == OrderKind::Leave && Status != 412)
-      this->Planner.onLeft(Order);
+      this->Planner.onLeaveConfirmed(Order);
   }
 
   std::mt19937_64 Random;
@@ -401,13 +401,13 @@
   std::vector<WorldVm> Rows;
   DomainPlanner Planner;
   std::uint64_t Generation = 1;
-  std::uint64_t OwnedFloor = 1U << 20;
+  std::uint64_t PriorEpochMax = 1U << 20;
   TimePoint MayPlanAt;
   std::size_t Lag = 0;
   TimePoint Now{std::chrono::seconds(1000)};
   std::deque<std::vector<TargetRef>> Registry;
   std::map<VmId, TargetRef> LastShown;
-  std::map<VmId, GoneTarget> Gone;
+  std::map<VmId, RemovedTarget> Removed;
   std::set<VmLife> WronglyLost;
   std::vector<LateOrder> Late;
   std::set<std::pair<GroupKey, VmId>> ReadyOnce;
--- a/tests/unit/choice_load_test.cpp
+++ b/tests/unit/choice_load_test.cpp
@@ -136,7 +136,7 @@
     return All > 0 ? Left / All : 0;
   }
 
-  std::vector<Serving> Rows;
+  std::vector<ServingTarget> Rows;
   std::vector<VitalsTable> Seen;
   std::vector<CentreBalance> Balance;
   std::size_t NodesEach = 1;
@@ -176,7 +176,8 @@
     Query.Anywhere = Part(this->Random) >= this->Balance[Node].stay(Pool);
     Query.Now = at(this->NowMs);
     Query.Random = this->Random();
-    const Serving *Row = chooseTarget(this->Rows, this->Seen[Node], Query);
+    const ServingTarget *Row =
+        chooseTarget(this->Rows, this->Seen[Node], Query);
     REQUIRE(Row);
     this->Sends.emplace_back(this->NowMs,
                              Row->Target->DataCentre != Query.Here);
--- a/tests/unit/domain_convert_test.cpp
+++ b/tests/unit/domain_convert_test.cpp
@@ -136,18 +136,18 @@
   }
 
   void plan() {
-    std::map<std::string, unsigned> Serving;
+    std::map<std::string, unsigned> ServingGroups;
     for (const char *Model : {"large", "small"})
       if (unsigned Count = this->open(Model); Count > 0)
-        Serving[Model] = Count;
+        ServingGroups[Model] = Count;
     std::vector<GroupOrder> Orders;
     for (auto &[Domain, View] :
          ownedDomains(this->Board, this->Config, this->Mine, at(this->NowMs))) {
-      View.Serving = Serving;
+      View.ServingGroups = ServingGroups;
       View.Demand = this->Demand;
       View.EpochFloor = 1;
       if (this->Free)
-        View.LoadsAllowed = FreeLoads;
+        View.LoadsAllowed = UnlimitedLoads;
       for (GroupOrder &Row : this->Planners[Domain].step(View, this->engine()))
         Orders.push_back(std::move(Row));
     }
@@ -178,7 +178,7 @@
     if (Order.Kind == OrderKind::Leave) {
       if (Holds)
         Group.reset();
-      return this->Planners[Order.To->Domain].onLeft(Order);
+      return this->Planners[Order.To->Domain].onLeaveConfirmed(Order);
     }
     if (!Holds)
       return;
--- a/tests/unit/domain_owner_test.cpp
+++ b/tests/unit/domain_owner_test.cpp
@@ -40,7 +40,7 @@
     this->Epoch = std::max(this->Epoch, Order.Group.Epoch);
     return OrderEnd::Taken;
   }
-  MemberFate ask(const TargetInfo &) { return MemberFate::Unknown; }
+  MemberStatus ask(const TargetInfo &) { return MemberStatus::Unknown; }
   Reach reach(const TargetInfo &) { return Reach::Answers; }
 
   std::mutex Mutex;
--- a/tests/unit/domain_stage_test.cpp
+++ b/tests/unit/domain_stage_test.cpp
@@ -27,7 +27,7 @@
     this->View.Domain = DomainId("d");
     this->View.Service = ServiceId("llm");
     this->View.LoadsAllowed = 20;
-    this->View.Serving = {{"large", 9}, {"small", 18}};
+    this->View.ServingGroups = {{"large", 9}, {"small", 18}};
     this->View.Demand = {{"large", {1, 100, 0}}, {"small", {1, 200, 0}}};
     this->group("large", 8);
   }
@@ -105,7 +105,7 @@
                  "staging: a model is short of groups: staged first, nobody "
                  "waits in a group for another's load",
                  "[unit]") {
-  this->View.Serving = {{"large", 9}, {"small", 1}};
+  this->View.ServingGroups = {{"large", 9}, {"small", 1}};
   this->rest(3, "small");
   this->rest(1, "large");
   for (int Ms = 0; Ms < 2000; Ms += 100) {
@@ -147,7 +147,7 @@
   std::vector<GroupOrder> Leave = Ordered(2200);
   REQUIRE(Leave.size() == 1);
   CHECK(Leave[0].Kind == OrderKind::Leave);
-  this->Planner.onLeft(Leave[0]);
+  this->Planner.onLeaveConfirmed(Leave[0]);
   CHECK(Ordered(2300).empty());
 }
 
@@ -157,7 +157,7 @@
                  "[unit]") {
   // Hundreds of times too much is asked of the model without a group: beside
   // what that loses, what another group gains must not vanish.
-  this->View.Serving = {{"large", 1}};
+  this->View.ServingGroups = {{"large", 1}};
   this->View.Demand = {{"large", {1, 100, 0}}, {"small", {900, 900000, 0}}};
   this->Engine.ReadTokensPerSecond = 46000;
   this->Engine.StepMillisPerRequest = 0.1;
@@ -179,7 +179,7 @@
   // All heads were lost at once. The domain's ten VMs would make one group of
   // each model; only for the small one the weights are there.
   this->View.Targets.clear();
-  this->View.Serving.clear();
+  this->View.ServingGroups.clear();
   this->rest(4, "small");
   this->rest(4, "large");
   auto Joins = [&](std::size_t Size) {
@@ -193,8 +193,8 @@
     }
     return Count;
   };
-  for (std::size_t Turn : {0, 1}) {
-    this->View.Turn = Turn;
+  for (std::size_t DomainIndex : {0, 1}) {
+    this->View.DomainIndex = DomainIndex;
     CHECK(Joins(4) == 4);
   }
 }
@@ -217,7 +217,7 @@
                  "members: one drains, not the head: its group serves on for a "
                  "while, and is closed then",
                  "[unit]") {
-  this->View.DrainHold = Millis(1300);
+  this->View.DrainGracePeriod = Millis(1300);
   auto ClosedAt = [&](std::size_t Member) {
     auto Row = std::make_shared<TargetInfo>(*this->View.Targets[Member]);
     Row->Draining = true;
--- a/tests/unit/domain_views_test.cpp
+++ b/tests/unit/domain_views_test.cpp
@@ -4,7 +4,7 @@
 
 // What an owner is shown of its domains and of the others.
 #include "control/domain_views.h"
-#include "policy/domain_outlook.h"
+#include "policy/domain_forecast.h"
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
@@ -73,12 +73,12 @@
   this->group("b", "large", 4);
   this->Board.Targets.write([&](Fleet &Rows) {
     TargetRef Row = this->vm("a");
-    Rows.Gone[Row->Id] = {Row, at(0)};
+    Rows.Removed[Row->Id] = {Row, at(0)};
   });
   std::map<DomainId, DomainView> Views = this->views();
   REQUIRE(Views.size() == 2);
-  CHECK(Views.at(DomainId("a")).Elsewhere.at("large") == 1);
-  CHECK(Views.at(DomainId("b")).Elsewhere.empty());
+  CHECK(Views.at(DomainId("a")).OtherGroups.at("large") == 1);
+  CHECK(Views.at(DomainId("b")).OtherGroups.empty());
 }
 
 TEST_CASE_METHOD(ViewsFixture,
@@ -95,11 +95,11 @@
     this->list(this->vm("d"));
   std::map<DomainId, DomainView> Views = this->views();
   DomainView &Last = Views.at(DomainId("c"));
-  CHECK(Last.Elsewhere.at("large") == 1);
-  CHECK(Last.Elsewhere.at("small") == 2);
-  CHECK(Last.TradesBefore.at("large") == 2);
-  CHECK(Last.TradesBefore.at("small") == -2);
-  CHECK(Views.at(DomainId("a")).TradesBefore.empty());
+  CHECK(Last.OtherGroups.at("large") == 1);
+  CHECK(Last.OtherGroups.at("small") == 2);
+  CHECK(Last.EarlierTrades.at("large") == 2);
+  CHECK(Last.EarlierTrades.at("small") == -2);
+  CHECK(Views.at(DomainId("a")).EarlierTrades.empty());
 }
 
 } // namespace waycove::test
--- a/tests/unit/entry_policy_test.cpp
+++ b/tests/unit/entry_policy_test.cpp
@@ -73,10 +73,11 @@
     this->Query.Now = at(0);
   }
   std::string choose() {
-    const Serving *Row = chooseTarget(this->Rows, this->Vitals, this->Query);
+    const ServingTarget *Row =
+        chooseTarget(this->Rows, this->Vitals, this->Query);
     return Row ? Row->Target->Id.Text : "";
   }
-  std::vector<Serving> Rows;
+  std::vector<ServingTarget> Rows;
   VitalsTable Vitals;
   ChoiceQuery Query;
 };
@@ -210,7 +211,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "serving view: a member's entry only lapsed: goes on serving",
                  "[unit]") {
-  this->Targets.Gone[VmId("member")] = {
+  this->Targets.Removed[VmId("member")] = {
       this->Targets.Targets.at(VmId("member")), at(0)};
   this->Targets.Targets.erase(VmId("member"));
   CHECK(this->serving() == 1);
@@ -222,7 +223,7 @@
           "listed",
           "[unit]") {
   VitalsTable Vitals;
-  std::vector<Serving> Rows;
+  std::vector<ServingTarget> Rows;
   for (const char *Id : {"kept", "listed"}) {
     auto Target = std::make_shared<TargetInfo>();
     Target->Id = VmId(Id);
@@ -247,7 +248,7 @@
           "where no other serves",
           "[unit]") {
   VitalsTable Vitals;
-  std::vector<Serving> Rows;
+  std::vector<ServingTarget> Rows;
   for (const char *Id : {"closing", "staying"}) {
     auto Target = std::make_shared<TargetInfo>();
     Target->Id = VmId(Id);
@@ -271,12 +272,12 @@
   Engine.Models.resize(2);
   Engine.Models[0].GroupSize = 4;
   Engine.Models[1].GroupSize = 2;
-  CHECK(groupsFor(Engine, 8) == std::vector<unsigned>{1, 2});
-  CHECK(groupsFor(Engine, 7) == std::vector<unsigned>{1, 1});
-  CHECK(groupsFor(Engine, 3) == std::vector<unsigned>{0, 1});
+  CHECK(planGroupCounts(Engine, 8) == std::vector<unsigned>{1, 2});
+  CHECK(planGroupCounts(Engine, 7) == std::vector<unsigned>{1, 1});
+  CHECK(planGroupCounts(Engine, 3) == std::vector<unsigned>{0, 1});
   Engine.Models[0].GroupSize = 8;
   Engine.Models[1].GroupSize = 4;
-  CHECK(groupsFor(Engine, 19) == std::vector<unsigned>{1, 2});
+  CHECK(planGroupCounts(Engine, 19) == std::vector<unsigned>{1, 2});
 }
 
 TEST_CASE("planner: domains too small for all models: share them out",
@@ -285,9 +286,9 @@
   Engine.Models.resize(2);
   Engine.Models[0].GroupSize = 4;
   Engine.Models[1].GroupSize = 2;
-  CHECK(groupsFor(Engine, 4, 0) == std::vector<unsigned>{1, 0});
-  CHECK(groupsFor(Engine, 4, 1) == std::vector<unsigned>{0, 2});
-  CHECK(groupsFor(Engine, 8, 1) == std::vector<unsigned>{1, 2});
+  CHECK(planGroupCounts(Engine, 4, 0) == std::vector<unsigned>{1, 0});
+  CHECK(planGroupCounts(Engine, 4, 1) == std::vector<unsigned>{0, 2});
+  CHECK(planGroupCounts(Engine, 8, 1) == std::vector<unsigned>{1, 2});
 }
 
 TEST_CASE_METHOD(FleetFixture,
--- a/tests/unit/group_load_test.cpp
+++ b/tests/unit/group_load_test.cpp
@@ -119,12 +119,13 @@
   Counted["large"] = {100, 150000, 20000};
   DemandTable Rates = demandRates(this->Engine, Counted, 0.1);
   CHECK(Rates["large"].Requests == Approx(100));
-  CHECK(Rates["large"].AnswerTokens == Approx(10000));
+  CHECK(Rates["large"].OutputTokens == Approx(10000));
   CHECK(Rates["small"].PromptTokens > 0);
-  CHECK(Rates["small"].work() < 0.05 * Rates["large"].work());
+  CHECK(Rates["small"].weightedTokens() <
+        0.05 * Rates["large"].weightedTokens());
   // Too few to go by.
   Counted["large"].Requests = 3;
-  CHECK(demandRates(this->Engine, Counted, 0.1)["small"].work() > 0);
+  CHECK(demandRates(this->Engine, Counted, 0.1)["small"].weightedTokens() > 0);
 }
 
 TEST_CASE_METHOD(LoadFixture,
@@ -135,10 +136,10 @@
   View.Domain = DomainId("d");
   View.Demand = this->Demand;
   View.LoadsAllowed = 20;
-  View.Serving = {{"large", 4}, {"small", 4}};
-  View.Elsewhere = {{"large", 4}, {"small", 4}};
-  View.ElsewhereInCentre = {{"large", 2}, {"small", 2}};
-  View.Centres = 3;
+  View.ServingGroups = {{"large", 4}, {"small", 4}};
+  View.OtherGroups = {{"large", 4}, {"small", 4}};
+  View.OtherGroupsInCentre = {{"large", 2}, {"small", 2}};
+  View.CentreCount = 3;
   for (int I = 0; I < 4; ++I) {
     auto Row = std::make_shared<TargetInfo>();
     Row->Id = VmId("vm" + std::to_string(I));
@@ -156,7 +157,7 @@
     return std::string();
   };
   CHECK(Formed() == "large");
-  View.ElsewhereInCentre = {{"large", 2}};
+  View.OtherGroupsInCentre = {{"large", 2}};
   CHECK(Formed() == "small");
 }
 
--- a/tests/unit/load_budget_test.cpp
+++ b/tests/unit/load_budget_test.cpp
@@ -65,7 +65,7 @@
   Given.Entry->FirstStart = true;
   EntryBoard First(Given, IncarnationId("i"));
   LoadBudget Free(First);
-  CHECK(Free.allowed(0, this->Engine, at(0)) == FreeLoads);
+  CHECK(Free.allowed(0, this->Engine, at(0)) == UnlimitedLoads);
   First.Requested = true;
   CHECK(Free.allowed(0, this->Engine, at(0)) == 0);
 }
--- a/tests/unit/load_turns_test.cpp
+++ b/tests/unit/load_schedule_test.cpp
@@ -6,7 +6,7 @@
 // VMs die in one data centre after the other, six of ten at a time, and many
 // owners of domains load weights at once from a store that serves six at full
 // speed.
-#include "policy/load_turns.h"
+#include "policy/load_schedule.h"
 
 #include <catch2/catch.hpp>
 
@@ -36,7 +36,7 @@
   std::string turns() const {
     std::string Text;
     for (const auto &[Domain, Loads] :
-         loadTurns(this->Targets, this->Engine).ByDomain)
+         scheduleLoads(this->Targets, this->Engine).ByDomain)
       Text += Domain.Text + std::to_string(Loads) + " ";
     return Text;
   }
--- a/tests/unit/member_inquiry_test.cpp
+++ b/tests/unit/member_inquiry_test.cpp
@@ -15,7 +15,7 @@
 /// Targets of which only those named answer.
 struct FakeControl {
   OrderEnd order(const GroupOrder &, std::uint64_t) { return OrderEnd::Taken; }
-  MemberFate ask(const TargetInfo &) { return MemberFate::Unknown; }
+  MemberStatus ask(const TargetInfo &) { return MemberStatus::Unknown; }
   Reach reach(const TargetInfo &Target) {
     if (this->Ended.contains(Target.Id))
       return Reach::Ended;
@@ -44,12 +44,12 @@
       Row->Loaded = {"m"};
       this->View.Targets.push_back(Row);
     }
-    this->View.LoadsAllowed = FreeLoads;
+    this->View.LoadsAllowed = UnlimitedLoads;
   }
   /// A planning step at \p Ms; who is told to join.
   std::vector<std::string> joins(int Ms) {
     this->View.Now = at(Ms);
-    this->View.Lost.clear();
+    this->View.PresumedDead.clear();
     this->Members.findLost(this->View);
     std::vector<std::string> Ids;
     for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
@@ -83,7 +83,7 @@
   Leave.Kind = OrderKind::Leave;
   Leave.To = Joined;
   Leave.Group = Joined->Group->Group;
-  this->Planner.onLeft(Leave);
+  this->Planner.onLeaveConfirmed(Leave);
   CHECK(this->joins(1100) == std::vector<std::string>{"a", "c"});
 }
 
@@ -94,9 +94,9 @@
   this->joins(0);
   CHECK(this->joins(800) == std::vector<std::string>{"a", "c"});
   this->View.Now = at(8000);
-  this->View.Lost.clear();
+  this->View.PresumedDead.clear();
   this->Members.findLost(this->View);
-  CHECK(this->View.Lost.empty());
+  CHECK(this->View.PresumedDead.empty());
 }
 
 TEST_CASE_METHOD(InquiryFixture,
@@ -111,13 +111,13 @@
   this->View.Now = at(0);
   this->Control.Ended.insert(Head->Id);
   this->Members.findLost(this->View);
-  REQUIRE(this->View.Lost.empty());
+  REQUIRE(this->View.PresumedDead.empty());
   this->Board.Vitals.write([&](VitalsTable &Rows) {
     Rows.suspect(Head->life(), at(0), Millis(3000));
   });
   this->Members.findLost(this->View);
-  CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
-  CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
+  CHECK(this->View.PresumedDead == std::set<VmLife>{Head->life()});
+  CHECK_FALSE(this->View.PresumedDead.contains({Head->Id, WallMs(200)}));
 }
 
 } // namespace waycove::test
--- a/tests/unit/news_test.cpp
+++ b/tests/unit/news_test.cpp
@@ -395,7 +395,7 @@
   CHECK(Vitals.isSuspect(Head, at(100)));
   ChoiceQuery Query;
   Query.Now = at(100);
-  std::vector<Serving> Rows;
+  std::vector<ServingTarget> Rows;
   for (const char *Id : {"head", "other"}) {
     auto Target = std::make_shared<TargetInfo>();
     Target->Id = VmId(Id);
--- a/tests/unit/urgency_test.cpp
+++ b/tests/unit/urgency_test.cpp
@@ -47,10 +47,10 @@
 TEST_CASE_METHOD(UrgencyFixture,
                  "urgency: a caller comes back: it has waited before",
                  "[unit]") {
-  CHECK(waitedBefore(this->Route, Millis(6000)) == Millis(0));
-  CHECK(waitedBefore(this->Route, Millis(4500)) == Millis(1500));
-  CHECK(waitedBefore(this->Route, Millis(9000)) == Millis(0));
-  CHECK(waitedBefore(this->Route, std::nullopt) == Millis(0));
+  CHECK(priorWait(this->Route, Millis(6000)) == Millis(0));
+  CHECK(priorWait(this->Route, Millis(4500)) == Millis(1500));
+  CHECK(priorWait(this->Route, Millis(9000)) == Millis(0));
+  CHECK(priorWait(this->Route, std::nullopt) == Millis(0));
 }
 
 TEST_CASE("platform headers: a request: both token counts are read", "[unit]") {
--- a/tools/without.py
+++ b/tools/without.py
@@ -13,16 +13,16 @@
 # name: (file, text, what stands in its place, tests by ctest's -R)
 MECHANISMS = {
     "head-leaves-first": (
-        "src/policy/domain_judge.cpp",
+        "src/policy/domain_review.cpp",
         'return this->release(S, Key, Row, "given up");', "return;",
         "planner: lost, late"),
     "members-leave": (
-        "src/policy/domain_judge.cpp",
-        "if (this->MemberLeft.contains({Key, Vm->life()}))", "if (true)",
+        "src/policy/domain_review.cpp",
+        "if (this->LeftMembers.contains({Key, Vm->life()}))", "if (true)",
         "planner: lost, late"),
     "earlier-owner": (
-        "src/policy/domain_judge.cpp",
-        "Key.Epoch <= S.View.OwnedFloor", "false",
+        "src/policy/domain_review.cpp",
+        "Key.Epoch <= S.View.PriorEpochMax", "false",
         "planner: lost, late"),
     "signed-success": (
         "src/entry/answer_pass.h",
@@ -90,12 +90,12 @@
         "return There && Now - this->ToldAt", "return false && Now - this->ToldAt",
         "vitals: another node left"),
     "load-queue": (
-        "src/policy/load_turns.cpp",
+        "src/policy/load_schedule.cpp",
         "std::min<std::size_t>(Engine.LoadsAtOnce, All.Loading)", "0",
         "load turns"),
     "drain-hold": (
-        "src/policy/domain_judge.cpp",
-        "return S.View.Now - Since < S.View.DrainHold;", "return Since == S.View.Now && false;",
+        "src/policy/domain_review.cpp",
+        "return S.View.Now - Since < S.View.DrainGracePeriod;", "return Since == S.View.Now && false;",
         "members: one drains"),
     "centre-kept": (
         "src/policy/domain_step.cpp",
@@ -143,7 +143,7 @@
         "store reader: its call hangs and|leaving target: a node|neighbours: alone"),
     "kept-last": (
         "src/policy/choice.cpp",
-        "return Row.Kept ||", "return",
+        "return Row.Retained ||", "return",
         "choice: an entry is missing|leaving target: the reader alone"),
     "own-word": (
         "src/policy/choice.cpp",
@@ -308,12 +308,12 @@
         "double Known = Usual;", "double Known = 0;",
         "choice of many nodes"),
     "loads-shown": (
-        "src/policy/load_turns.cpp",
+        "src/policy/load_schedule.cpp",
         "All.Loading += isLoading(*Row) ? 1 : 0;", "",
         "load turns: loads are under way"),
     "formed-of-what-is-there": (
         "src/policy/domain_form.cpp",
-        "if (!S.anyServes() && !S.loadsFirst())", "if (!S.anyServes())",
+        "if (!S.anyServes() && !S.loadsBeforeForming())", "if (!S.anyServes())",
         "forming: nothing serves"),
     "gain-alone": (
         "src/policy/domain_form.cpp",
