--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -5,12 +5,12 @@
 #pragma once
 
 #include "control/cached_feed.h"
-#include "control/config_follow.h"
+#include "control/config_follower.h"
 #include "control/domain_owner.h"
 #include "control/news.h"
 #include "control/news_server.h"
-#include "control/node_follow.h"
-#include "control/registry_follow.h"
+#include "control/node_follower.h"
+#include "control/registry_follower.h"
 #include "control/store_reader.h"
 #include "entry/caller_server.h"
 #include "entry/ready_server.h"
@@ -23,8 +23,8 @@
 template <typename P>
 concept EntryPlatform = CallerProtocol<typename P::Callers> &&
     StoreFeed<typename P::Feed> && NodeDirectory<typename P::Feed> &&
-    WorkShares<typename P::Partitions> && GroupControl<typename P::Control> &&
-    requires(EntryBoard &Board) {
+    PartitionService<typename P::Partitions> &&
+    GroupControl<typename P::Control> && requires(EntryBoard &Board) {
   { P::configFeed(Board) } -> std::same_as<typename P::Feed>;
   { P::registryFeed(Board) } -> std::same_as<typename P::Feed>;
   { P::nodeFeed(Board) } -> std::same_as<typename P::Feed>;
@@ -80,7 +80,7 @@
     });
     this->loop([this] { return this->Nodes.step(); });
     this->loop([this] { return this->News.step(); });
-    this->loop([this] { return this->Domains.renew(); });
+    this->loop([this] { return this->Domains.renewLease(); });
     this->loop([this] {
       this->Domains.step();
       return PlanInterval;
@@ -218,7 +218,7 @@
   ConfigFollower<CachedFeed, typename Platform::ConfigDecoder> Routing;
   RegistryFollower<CachedFeed, typename Platform::TargetDecoder> Registry;
   NodeFollower<CachedFeed, typename Platform::Feed> Nodes;
-  SharedSight Observations;
+  SharedObservations Observations;
   NewsExchange News;
   NewsServer NewsService;
   DomainOwner<typename Platform::Partitions, typename Platform::Control>
