--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -176,27 +176,27 @@
       const EngineSpec &Engine = *Config.service(View.Service)->Engine;
       View.EpochFloor = Assignment.fence() << EpochCounterBits;
       View.LoadsAllowed = this->Budget.allowed(View.LoadsAllowed, Engine, Now);
-      View.LoadsSpare = this->Budget.allowed(View.LoadsSpare, Engine, Now);
-      View.Fates = this->Prober.statuses();
-      View.Serving = Serving;
+      View.SpareLoads = this->Budget.allowed(View.SpareLoads, Engine, Now);
+      View.Statuses = this->Prober.statuses();
+      View.ServingGroups = Serving;
       View.Demand = this->demandOf(Engine);
       this->Prober.detectLost(View);
       OwnedDomain &Owned =
           this->Planners.try_emplace(Domain, Now).first->second;
-      if (Now - Owned.Since < TakeoverWait ||
+      if (Now - Owned.Since < TakeoverDelay ||
           this->isRegistryUnread(Owned.Since))
         continue;
       if (!Owned.Floor)
         Owned.Floor = firstFloor(View);
-      View.OwnedFloor = *Owned.Floor;
-      View.EpochFloor = std::max(View.EpochFloor, View.OwnedFloor);
-      View.DrainHold = std::max(
+      View.PriorEpochMax = *Owned.Floor;
+      View.EpochFloor = std::max(View.EpochFloor, View.PriorEpochMax);
+      View.DrainGracePeriod = std::max(
           Millis(0), this->Board.Config.Entry->DrainBound - DrainMargin);
       std::vector<GroupOrder> Next = Owned.Planner.step(View, Engine);
       for (const GroupOrder &Order : Next)
         this->Budget.recordOrder(Order, Engine, Now);
       Orders.insert(Orders.end(), Next.begin(), Next.end());
-      this->Prober.queryRemoved(View, Owned.Planner.askAfter());
+      this->Prober.queryRemoved(View, Owned.Planner.statusQueries());
     }
     return Orders;
   }
@@ -231,7 +231,7 @@
     };
     for (const TargetRef &Target : View.Targets)
       Note(*Target);
-    for (const GoneTarget &Target : View.Gone)
+    for (const RemovedTarget &Target : View.Removed)
       Note(*Target.Last);
     return Seen < View.EpochFloor ? View.EpochFloor : Seen + UnseenEpochs;
   }
@@ -246,7 +246,7 @@
       return;
     if (auto At = this->Planners.find(Order.To->Domain);
         At != this->Planners.end())
-      At->second.Planner.onLeft(Order);
+      At->second.Planner.onLeaveConfirmed(Order);
   }
 
   /// Excludes a target from the next group if an order to join did not reach it
--- a/src/control/domain_views.cpp
+++ b/src/control/domain_views.cpp
@@ -4,8 +4,8 @@
 
 #include "control/domain_views.h"
 
-#include "policy/domain_outlook.h"
-#include "policy/load_turns.h"
+#include "policy/domain_forecast.h"
+#include "policy/load_schedule.h"
 
 #include <algorithm>
 #include <iterator>
@@ -29,7 +29,7 @@
 }
 
 /// Fills in what \p View holds of the other domains of its service.
-void countElsewhere(const std::map<DomainId, DomainOutlook> &Outlooks,
+void countElsewhere(const std::map<DomainId, DomainForecast> &Outlooks,
                     DomainView &View) {
   std::set<DataCentreId> Centres;
   // By model, the domain with the most groups and their number.
@@ -40,22 +40,22 @@
       Own == Outlooks.end() ? DataCentreId() : Own->second.Centre;
   for (const auto &[Domain, Outlook] : Outlooks) {
     Centres.insert(Outlook.Centre);
-    View.AnyCloses |= Outlook.Closes;
-    for (const auto &[Model, Count] : Outlook.Serving)
+    View.AnyGroupClosing |= Outlook.AnyGroupClosing;
+    for (const auto &[Model, Count] : Outlook.ServingGroups)
       if (auto &Largest = LargestByModel[Model]; Count > Largest.first)
         Largest = {Count, Domain};
     if (Domain == View.Domain)
       continue;
-    addTo(View.Elsewhere, Outlook.Groups);
+    addTo(View.OtherGroups, Outlook.Groups);
     if (Outlook.Centre == Here)
-      addTo(View.ElsewhereInCentre, Outlook.Groups);
+      addTo(View.OtherGroupsInCentre, Outlook.Groups);
     if (Domain < View.Domain)
-      addTo(View.TradesBefore, Outlook.Trade);
+      addTo(View.EarlierTrades, Outlook.Trade);
   }
-  View.Centres = Centres.size();
+  View.CentreCount = Centres.size();
   for (const auto &[Model, Largest] : LargestByModel)
     if (Largest.second == View.Domain)
-      View.MayGiveUp.insert(Model);
+      View.ReleasableModels.insert(Model);
 }
 
 } // namespace
@@ -86,27 +86,28 @@
       if (IsOwned(*Target))
         ViewOf(*Target).Targets.push_back(Target);
     }
-    for (const auto &[Id, Target] : Rows.Gone)
+    for (const auto &[Id, Target] : Rows.Removed)
       if (IsOwned(*Target.Last))
-        ViewOf(*Target.Last).Gone.push_back(Target);
+        ViewOf(*Target.Last).Removed.push_back(Target);
   });
-  std::map<ServiceId, LoadTurns> Schedules;
-  std::map<ServiceId, std::map<DomainId, DomainOutlook>> Outlooks;
+  std::map<ServiceId, LoadSchedule> Schedules;
+  std::map<ServiceId, std::map<DomainId, DomainForecast>> Outlooks;
   for (auto &[Domain, View] : Views) {
     const std::set<DomainId> &Order = Domains[View.Service];
-    View.Turn = static_cast<std::size_t>(
+    View.DomainIndex = static_cast<std::size_t>(
         std::distance(Order.begin(), Order.find(Domain)));
     const EngineSpec &Engine = *Config.service(View.Service)->Engine;
     auto At = Schedules.find(View.Service);
     if (At == Schedules.end()) {
-      At = Schedules.emplace(View.Service, loadTurns(All[View.Service], Engine))
+      At = Schedules
+               .emplace(View.Service, scheduleLoads(All[View.Service], Engine))
                .first;
-      Outlooks[View.Service] = domainOutlooks(All[View.Service], Engine);
+      Outlooks[View.Service] = forecastDomains(All[View.Service], Engine);
     }
     const std::map<DomainId, unsigned> &ByDomain = At->second.ByDomain;
     auto Turn = ByDomain.find(Domain);
     View.LoadsAllowed = Turn == ByDomain.end() ? 0 : Turn->second;
-    View.LoadsSpare = At->second.Spare;
+    View.SpareLoads = At->second.SpareLoads;
     countElsewhere(Outlooks[View.Service], View);
   }
   return Views;
@@ -117,7 +118,7 @@
   ServingViewRef View =
       Board.Serving.read([](const ServingViewRef &Row) { return Row; });
   for (const auto &[Service, Targets] : View->ByService)
-    for (const Serving &Target : Targets)
+    for (const ServingTarget &Target : Targets)
       if (!Target.Model.empty())
         ++Counts[Target.Model];
   return Counts;
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -197,8 +197,9 @@
     return this->Board.Targets.read([&](const Fleet &Rows) {
       if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end())
         return At->second->Born;
-      auto Gone = Rows.Gone.find(Id);
-      return Gone == Rows.Gone.end() ? WallMs() : Gone->second.Last->Born;
+      auto Removed = Rows.Removed.find(Id);
+      return Removed == Rows.Removed.end() ? WallMs()
+                                           : Removed->second.Last->Born;
     });
   }
 
@@ -254,8 +255,8 @@
     this->Board.Targets.write([&](Fleet &Rows) {
       ++Rows.Version;
       Rows.Registry = Registry;
-      Rows.Kept = this->Retained;
-      std::erase_if(Rows.Gone, [&](const auto &Entry) {
+      Rows.Retained = this->Retained;
+      std::erase_if(Rows.Removed, [&](const auto &Entry) {
         return Now - Entry.second.Since > RemovedRetention;
       });
       for (const TargetRef &Target : Updated) {
@@ -265,11 +266,11 @@
         else if (Last && groupOf(*Last) != groupOf(*Target))
           Regrouped.push_back(Target->life());
         Last = Target;
-        Rows.Gone.erase(Target->Id);
+        Rows.Removed.erase(Target->Id);
       }
       for (const VmId &Id : Dropped)
         if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end()) {
-          Rows.Gone[Id] = {At->second, Now};
+          Rows.Removed[Id] = {At->second, Now};
           Rows.Targets.erase(At);
           RemovedIds.push_back(Id);
         }
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -178,7 +178,7 @@
     this->Board.Vitals.write([&](VitalsTable &Rows) { Rows.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Rows) {
       for (auto &[Model, Row] : Rows)
-        Row = Row.scaled(DemandKept);
+        Row = Row.scaled(DemandDecay);
     });
     if (++this->SweepCount % SweepsPerCallLog == 0)
       this->logStoreCalls();
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -91,14 +91,15 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const Serving &To, TimePoint ChosenAt) {
+  AttemptEnd attempt(RelayExchange &Ex, const ServingTarget &To,
+                     TimePoint ChosenAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
     const VmLife Life = To.Target->life();
     Ex.Progress.Tried.push_back(Life.Id);
     if (!this->connect(Ex, Attempt)) {
       this->Log.suspectTarget(Life, UnreachableTime, Attempt.Reason,
-                        Ex.Request.Info.Id);
+                              Ex.Request.Info.Id);
       return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
     }
     Attempt.SentAt = SystemClock{}.now();
@@ -136,9 +137,9 @@
       Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
     if (Attempt.Connection)
       return true;
-    IoStatus End = Channel::connect(Attempt.To.Target->Address,
-                                 std::min(Ex.Request.Deadline, Now + DialTime),
-                                 Attempt.Connection);
+    IoStatus End = Channel::connect(
+        Attempt.To.Target->Address,
+        std::min(Ex.Request.Deadline, Now + DialTime), Attempt.Connection);
     if (End == IoStatus::Ok && Ex.Request.Route->mayRepeat())
       Attempt.Connection->setAckTimeout(AcknowledgeTime);
     if (End != IoStatus::Ok)
@@ -165,7 +166,7 @@
                                       const RelayAttempt &Attempt) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
-        waitedBefore(*Request.Route, Request.Info.Timeout) +
+        priorWait(*Request.Route, Request.Info.Timeout) +
         std::chrono::duration_cast<Millis>(Attempt.SentAt - Request.ArrivedAt);
     AttemptParams Info{
         Attempt.To.Target->Id, Request.Workspace,
@@ -232,7 +233,7 @@
                                  Row.RequestRan == Ran::No ? retryAfterOf(Why)
                                                            : Millis(0));
     Ex.Response.sendWhole(Out, errorJson(Why),
-                      SystemClock{}.now() + RelayExchange::WriteGrace);
+                          SystemClock{}.now() + RelayExchange::WriteGrace);
     this->Log.requestRefused(Ex, Why);
   }
 
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -32,7 +32,8 @@
 } // namespace
 
 void RelayLog::suspectTarget(const VmLife &Target, Millis Time,
-                       const std::string &Reason, const RequestId &Because) {
+                             const std::string &Reason,
+                             const RequestId &Because) {
   TimePoint Now = SystemClock{}.now();
   bool New = this->Board.Vitals.write([&](VitalsTable &Vitals) {
     bool Fresh = Vitals.of(Target).SuspectUntil <= Now;
@@ -60,8 +61,8 @@
                            .add("reason", Attempt.Reason));
 }
 
-void RelayLog::requestDone(const RelayExchange &Ex, const Serving &To,
-                    AttemptEnd End) {
+void RelayLog::requestDone(const RelayExchange &Ex, const ServingTarget &To,
+                           AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
   this->Board.Counters.observe(Timer::Whole,
@@ -74,7 +75,8 @@
             .add("first_byte_ms", Ex.Progress.FirstByte.value_or(Millis(0))));
 }
 
-void RelayLog::requestFailed(const RelayExchange &Ex, const std::string &Reason) {
+void RelayLog::requestFailed(const RelayExchange &Ex,
+                             const std::string &Reason) {
   this->Board.Log.emit(
       EventCode::RequestDone, Ex.Request.Info.Id.Text,
       fieldsOf(Ex)
@@ -88,7 +90,8 @@
                        fieldsOf(Ex).add("reason", Reason));
 }
 
-void RelayLog::requestRefused(const RelayExchange &Ex, const absl::Status &Why) {
+void RelayLog::requestRefused(const RelayExchange &Ex,
+                              const absl::Status &Why) {
   const ErrorAnswer &Row = answerFor(kindOf(Why));
   this->Board.Counters.add(Counter::RequestsRefused);
   this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
--- a/tests/unit/member_prober_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -17,7 +17,7 @@
   OrderOutcome order(const GroupOrder &, std::uint64_t) {
     return OrderOutcome::Accepted;
   }
-  MemberFate queryStatus(const TargetInfo &) { return MemberFate::Unknown; }
+  MemberStatus queryStatus(const TargetInfo &) { return MemberStatus::Unknown; }
   Reachability probe(const TargetInfo &Target) {
     if (this->Restarted.contains(Target.Id))
       return Reachability::ProcessEnded;
@@ -47,12 +47,12 @@
       Row->Loaded = {"m"};
       this->View.Targets.push_back(Row);
     }
-    this->View.LoadsAllowed = FreeLoads;
+    this->View.LoadsAllowed = UnlimitedLoads;
   }
   /// Plans once at \p Ms; returns the targets that are ordered to join.
   std::vector<std::string> joins(int Ms) {
     this->View.Now = at(Ms);
-    this->View.Lost.clear();
+    this->View.PresumedDead.clear();
     this->Prober.detectLost(this->View);
     std::vector<std::string> Ids;
     for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
@@ -86,7 +86,7 @@
   Leave.Kind = OrderKind::Leave;
   Leave.To = Joined;
   Leave.Group = Joined->Group->Group;
-  this->Planner.onLeft(Leave);
+  this->Planner.onLeaveConfirmed(Leave);
   CHECK(this->joins(1100) == std::vector<std::string>{"a", "c"});
 }
 
@@ -97,9 +97,9 @@
   this->joins(0);
   CHECK(this->joins(800) == std::vector<std::string>{"a", "c"});
   this->View.Now = at(8000);
-  this->View.Lost.clear();
+  this->View.PresumedDead.clear();
   this->Prober.detectLost(this->View);
-  CHECK(this->View.Lost.empty());
+  CHECK(this->View.PresumedDead.empty());
 }
 
 TEST_CASE_METHOD(ProberFixture,
@@ -114,13 +114,13 @@
   this->View.Now = at(0);
   this->Control.Restarted.insert(Head->Id);
   this->Prober.detectLost(this->View);
-  REQUIRE(this->View.Lost.empty());
+  REQUIRE(this->View.PresumedDead.empty());
   this->Board.Vitals.write([&](VitalsTable &Rows) {
     Rows.suspect(Head->life(), at(0), Millis(3000));
   });
   this->Prober.detectLost(this->View);
-  CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
-  CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
+  CHECK(this->View.PresumedDead == std::set<VmLife>{Head->life()});
+  CHECK_FALSE(this->View.PresumedDead.contains({Head->Id, WallMs(200)}));
 }
 
 } // namespace waycove::test
