--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -91,7 +91,7 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const Serving &To,
+  AttemptEnd attempt(RelayExchange &Ex, const ServingTarget &To,
                      TimePoint SelectedAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
@@ -167,7 +167,7 @@
                                       const RelayAttempt &Attempt) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
-        waitedBefore(*Request.Route, Request.Info.Timeout) +
+        priorWait(*Request.Route, Request.Info.Timeout) +
         std::chrono::duration_cast<Millis>(Attempt.SentAt - Request.ArrivedAt);
     AttemptParams Params{
         Attempt.To.Target->Id, Request.Workspace,
--- a/src/entry/relay_attempt.h
+++ b/src/entry/relay_attempt.h
@@ -30,7 +30,7 @@
 
 /// One attempt: the target, the connection, and the state of the response.
 struct RelayAttempt {
-  Serving To;
+  ServingTarget To;
   std::optional<Channel> Connection;
   TimePoint SentAt;
   TimePoint LastByte;
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -61,7 +61,7 @@
                            .add("reason", Attempt.Reason));
 }
 
-void RelayLog::requestDone(const RelayExchange &Ex, const Serving &To,
+void RelayLog::requestDone(const RelayExchange &Ex, const ServingTarget &To,
                            AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
--- a/src/entry/relay_log.h
+++ b/src/entry/relay_log.h
@@ -21,7 +21,8 @@
   /// An attempt ended without a whole response.
   void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
   /// The request ended with the response of \p To, or because the caller left.
-  void requestDone(const RelayExchange &Ex, const Serving &To, AttemptEnd End);
+  void requestDone(const RelayExchange &Ex, const ServingTarget &To,
+                   AttemptEnd End);
   /// The request ended with an error response of a target.
   void requestFailed(const RelayExchange &Ex, const std::string &Reason);
   /// The response had been started and was aborted.
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -26,7 +26,7 @@
       ModelDemand &Demand = Table[Info.Model];
       ++Demand.Requests;
       Demand.PromptTokens += static_cast<double>(Info.PromptTokens);
-      Demand.AnswerTokens += static_cast<double>(Info.MaxOutputTokens);
+      Demand.OutputTokens += static_cast<double>(Info.MaxOutputTokens);
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Config = *this->Board.Config.Entry;
@@ -109,7 +109,7 @@
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.Vitals.read(
       [&](const VitalsTable &Vitals) -> std::optional<SelectedTarget> {
-        const Serving *Best = chooseTarget(Targets->second, Vitals, Query);
+        const ServingTarget *Best = chooseTarget(Targets->second, Vitals, Query);
         if (!Best)
           return std::nullopt;
         return SelectedTarget{
--- a/src/entry/relay_policy.h
+++ b/src/entry/relay_policy.h
@@ -10,7 +10,7 @@
 
 /// A target and the state of the registry by which it was selected.
 struct SelectedTarget {
-  Serving To;
+  ServingTarget To;
   RegistrySnapshot Snapshot;
 };
 
--- a/tests/unit/member_inquiry_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What an owner of domains concludes of members that do not answer.
-#include "control/member_inquiry.h"
+// Detection of dead members of groups.
+#include "control/member_prober.h"
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
@@ -12,25 +12,28 @@
 
 namespace {
 
-/// Targets of which only those named answer.
+/// Targets that respond unless listed here.
 struct FakeControl {
-  OrderEnd order(const GroupOrder &, std::uint64_t) { return OrderEnd::Taken; }
-  MemberFate ask(const TargetInfo &) { return MemberFate::Unknown; }
-  Reach reach(const TargetInfo &Target) {
-    if (this->Ended.contains(Target.Id))
-      return Reach::Ended;
-    return this->Silent.contains(Target.Id) ? Reach::Silent : Reach::Answers;
+  OrderOutcome order(const GroupOrder &, std::uint64_t) {
+    return OrderOutcome::Accepted;
   }
-  std::set<VmId> Silent;
-  /// In their place, another process answers.
-  std::set<VmId> Ended;
+  MemberStatus queryStatus(const TargetInfo &) { return MemberStatus::Unknown; }
+  Reachability probe(const TargetInfo &Target) {
+    if (this->Restarted.contains(Target.Id))
+      return Reachability::ProcessEnded;
+    return this->Unresponsive.contains(Target.Id) ? Reachability::Unresponsive
+                                                  : Reachability::Reachable;
+  }
+  std::set<VmId> Unresponsive;
+  /// Another process responds at their address.
+  std::set<VmId> Restarted;
 };
 
 } // namespace
 
-/// A domain of three VMs, of which two make a group.
-struct InquiryFixture {
-  InquiryFixture() : Board(Settings(), IncarnationId("i")) {
+/// A domain of three VMs, where a group needs two.
+struct ProberFixture {
+  ProberFixture() : Board(Settings(), IncarnationId("i")) {
     ModelSpec Model;
     Model.Name = "m";
     Model.GroupSize = 2;
@@ -44,13 +47,13 @@
       Row->Loaded = {"m"};
       this->View.Targets.push_back(Row);
     }
-    this->View.LoadsAllowed = FreeLoads;
+    this->View.LoadsAllowed = UnlimitedLoads;
   }
-  /// A planning step at \p Ms; who is told to join.
+  /// Plans once at \p Ms; returns the targets that are ordered to join.
   std::vector<std::string> joins(int Ms) {
     this->View.Now = at(Ms);
-    this->View.Lost.clear();
-    this->Members.findLost(this->View);
+    this->View.PresumedDead.clear();
+    this->Prober.detectLost(this->View);
     std::vector<std::string> Ids;
     for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
       if (Row.Kind == OrderKind::Join)
@@ -60,20 +63,20 @@
 
   EntryBoard Board;
   FakeControl Control;
-  MemberInquiry<FakeControl> Members{this->Board, this->Control};
+  MemberProber<FakeControl> Prober{this->Board, this->Control};
   EngineSpec Engine;
   DomainView View;
   DomainPlanner Planner;
 };
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: one is not reached by its order: the next group is "
                  "formed of others at once",
                  "[unit]") {
   this->joins(0);
   REQUIRE(this->joins(800) == std::vector<std::string>{"a", "b"});
-  this->Members.noteUnreached({VmId("b"), {}}, at(900));
-  // The order to the other one got through, and shows in the registry.
+  this->Prober.markUnreachable({VmId("b"), {}}, at(900));
+  // The order to the other target was delivered and shows in the registry.
   auto Joined = std::make_shared<TargetInfo>(*this->View.Targets[0]);
   Joined->Group = Membership{
       {groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Joining};
@@ -83,23 +86,23 @@
   Leave.Kind = OrderKind::Leave;
   Leave.To = Joined;
   Leave.Group = Joined->Group->Group;
-  this->Planner.onLeft(Leave);
+  this->Planner.onLeaveConfirmed(Leave);
   CHECK(this->joins(1100) == std::vector<std::string>{"a", "c"});
 }
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: one was not reached once: it is used again later",
                  "[unit]") {
-  this->Members.noteUnreached({VmId("b"), {}}, at(0));
+  this->Prober.markUnreachable({VmId("b"), {}}, at(0));
   this->joins(0);
   CHECK(this->joins(800) == std::vector<std::string>{"a", "c"});
   this->View.Now = at(8000);
-  this->View.Lost.clear();
-  this->Members.findLost(this->View);
-  CHECK(this->View.Lost.empty());
+  this->View.PresumedDead.clear();
+  this->Prober.detectLost(this->View);
+  CHECK(this->View.PresumedDead.empty());
 }
 
-TEST_CASE_METHOD(InquiryFixture,
+TEST_CASE_METHOD(ProberFixture,
                  "members: a head refuses, having started again behind a cut: "
                  "taken for dead at the first question, its new life not",
                  "[unit]") {
@@ -109,15 +112,15 @@
       Membership{{groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Open};
   this->View.Targets[0] = Head;
   this->View.Now = at(0);
-  this->Control.Ended.insert(Head->Id);
-  this->Members.findLost(this->View);
-  REQUIRE(this->View.Lost.empty());
+  this->Control.Restarted.insert(Head->Id);
+  this->Prober.detectLost(this->View);
+  REQUIRE(this->View.PresumedDead.empty());
   this->Board.Vitals.write([&](VitalsTable &Rows) {
     Rows.suspect(Head->life(), at(0), Millis(3000));
   });
-  this->Members.findLost(this->View);
-  CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
-  CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
+  this->Prober.detectLost(this->View);
+  CHECK(this->View.PresumedDead == std::set<VmLife>{Head->life()});
+  CHECK_FALSE(this->View.PresumedDead.contains({Head->Id, WallMs(200)}));
 }
 
 } // namespace waycove::test
