--- a/src/entry/caller_protocol.h
+++ b/src/entry/caller_protocol.h
@@ -62,14 +62,14 @@
                                   const Poco::Net::HTTPResponse &Response,
                                   const AttemptParams &Params,
                                   Poco::Net::HTTPRequest &TargetRequest,
-                                  Poco::Net::HTTPResponse &CallerResponse,
+                                  Poco::Net::HTTPResponse &ResponseToCaller,
                                   const RequestId &Id, Millis RetryAfter) {
   { P::readRequestInfo(Request) } -> std::same_as<CallerRequestInfo>;
   { P::readResponseInfo(Response) } -> std::same_as<TargetResponseInfo>;
   {
     P::makeTargetRequest(Request, Params)
     } -> std::same_as<Poco::Net::HTTPRequest>;
-  P::setResponseHeaders(CallerResponse, Id, RetryAfter);
+  P::setResponseHeaders(ResponseToCaller, Id, RetryAfter);
 };
 
 } // namespace waycove
--- a/tests/contract/platform_contract.cpp
+++ b/tests/contract/platform_contract.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Contracts of the platform's log and VM list, against the stand-in.
+// The platform's log and VM list as clients see them, with the stand-in.
 #include "edge/platform.h"
 #include "support/cluster.h"
 
@@ -48,34 +48,34 @@
 
 struct LogFault {
   const char *Fault;
-  /// What an append's error has to be.
+  /// Expected error of an append.
   ErrorKind Append;
-  /// Records in the log after it.
+  /// Expected number of records in the log afterwards.
   std::uint64_t Records;
 };
 
 TEST_CASE_METHOD(PlatformFixture,
                  "log: each fault: the error says whether it may be written",
                  "[contract]") {
-  for (const LogFault &Row :
+  for (const LogFault &Case :
        {LogFault{R"({"append":"refuse"})", ErrorKind::OutcomeUnknown, 0},
         LogFault{R"({"append":"stall"})", ErrorKind::OutcomeUnknown, 0},
         LogFault{R"({"append":"lose_ack"})", ErrorKind::OutcomeUnknown, 1}}) {
-    INFO(Row.Fault);
-    this->Run.platformFault(Row.Fault);
+    INFO(Case.Fault);
+    this->Run.platformFault(Case.Fault);
     HttpLog Log(this->Config, this->Counters);
     auto At = Log.append(LogStream::Records, "x");
     REQUIRE_FALSE(At.ok());
-    CHECK(kindOf(At.status()) == Row.Append);
+    CHECK(kindOf(At.status()) == Case.Append);
     CHECK(this->Run.atPlatform({.Path = "/stats"}).number("next") ==
-          Row.Records);
+          Case.Records);
   }
   this->Run.platform().signal(SIGKILL);
   this->Run.platform().wait(std::chrono::seconds(5));
   HttpLog Log(this->Config, this->Counters);
   auto At = Log.append(LogStream::Records, "x");
   REQUIRE_FALSE(At.ok());
-  // Nobody listens: certainly not written.
+  // Nobody listens, so the record was certainly not written.
   CHECK(kindOf(At.status()) == ErrorKind::LogUnavailable);
   CHECK_FALSE(Log.read(LogStream::Records, Offset(0), 1, Millis(0)).ok());
 }
--- a/tests/contract/registry_contract.cpp
+++ b/tests/contract/registry_contract.cpp
@@ -2,8 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Entries of the platform's registry, as targets write them and as other
-// writers may: which of them name a target.
+// Decoding of registry entries: valid ones, incomplete ones and damaged ones.
 #include "platform/decode.h"
 
 #include <Poco/JSON/Array.h>
@@ -43,11 +42,11 @@
   const char *New;
 };
 
-/// The same as in CI, or as many as somebody asks for by hand.
-int casesWanted() {
-  constexpr int CasesInCi = 10000;
-  const char *Asked = std::getenv("WAYCOVE_CASES");
-  return Asked ? std::atoi(Asked) : CasesInCi;
+/// Number of random cases; WAYCOVE_CASES overrides the default.
+int caseCount() {
+  constexpr int DefaultCount = 10000;
+  const char *Override = std::getenv("WAYCOVE_CASES");
+  return Override ? std::atoi(Override) : DefaultCount;
 }
 
 std::string mutated(std::string Text, std::mt19937_64 &Random) {
@@ -72,24 +71,25 @@
                                                "\"state\":\"open\"",
                                                "\\ud800",
                                                std::string(300, '[')};
-  auto Roll = [&](std::size_t Below) {
-    return std::uniform_int_distribution<std::size_t>(0, Below - 1)(Random);
+  auto RandomBelow = [&](std::size_t Bound) {
+    return std::uniform_int_distribution<std::size_t>(0, Bound - 1)(Random);
   };
-  for (std::size_t Changes = 1 + Roll(5); Changes > 0 && !Text.empty();
+  for (std::size_t Changes = 1 + RandomBelow(5); Changes > 0 && !Text.empty();
        --Changes) {
-    std::size_t At = Roll(Text.size());
-    switch (Roll(5)) {
+    std::size_t At = RandomBelow(Text.size());
+    switch (RandomBelow(5)) {
     case 0:
-      Text[At] = static_cast<char>(Roll(256));
+      Text[At] = static_cast<char>(RandomBelow(256));
       break;
     case 1:
-      Text.erase(At, 1 + Roll(30));
+      Text.erase(At, 1 + RandomBelow(30));
       break;
     case 2:
-      Text.insert(At, Text.substr(Roll(Text.size()), 1 + Roll(40)));
+      Text.insert(At,
+                  Text.substr(RandomBelow(Text.size()), 1 + RandomBelow(40)));
       break;
     case 3:
-      Text.replace(At, Roll(12), Pieces[Roll(Pieces.size())]);
+      Text.replace(At, RandomBelow(12), Pieces[RandomBelow(Pieces.size())]);
       break;
     default:
       Text.resize(At);
@@ -193,13 +193,13 @@
 TEST_CASE("registry entry: any damage: refused, or whole; nothing is thrown",
           "[contract]") {
   std::mt19937_64 Random(20261203);
-  int Read = 0;
-  for (int I = 0; I < casesWanted(); ++I) {
+  int Accepted = 0;
+  for (int I = 0; I < caseCount(); ++I) {
     std::string Text = mutated(I % 2 == 0 ? EngineEntry : PlainEntry, Random);
     absl::StatusOr<TargetInfo> Row = decode(Text);
     if (!Row.ok())
       continue;
-    ++Read;
+    ++Accepted;
     INFO(Text);
     REQUIRE_FALSE(Row->Service.empty());
     REQUIRE_FALSE(Row->DataCentre.empty());
@@ -210,9 +210,9 @@
     for (const std::string &Model : Row->Loaded)
       REQUIRE_FALSE(Model.empty());
   }
-  // Some damage is none: the check must see entries of both kinds.
-  CHECK(Read > 0);
-  CHECK(Read < casesWanted());
+  // Guards against mutations that are all harmless or all fatal.
+  CHECK(Accepted > 0);
+  CHECK(Accepted < caseCount());
 }
 
 } // namespace waycove::test
--- a/tests/contract/settings_contract.cpp
+++ b/tests/contract/settings_contract.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// The settings template that the platform fills: what its fields say reaches
-// the daemon's settings, whatever their values.
+// The settings template that the platform fills: each field's value reaches the
+// daemon's settings.
 #include "base/settings.h"
 #include "support/cluster.h"
 
@@ -16,12 +16,12 @@
 
 namespace {
 
-/// Values of the platform's fields by dotted name; an absent one is missing,
-/// "false" is false.
+/// Values of the platform's fields by dotted name. A missing key is a missing
+/// field, "false" is false.
 using Fields = std::map<std::string, std::string>;
 
-/// Fills spans and then gaps, as the platform's page describes them, as far as
-/// the template uses them: no lists, no spans within spans.
+/// Expands sections and then placeholders like the platform, without lists and
+/// nested sections, which the template does not use.
 std::string fill(std::string Text, const Fields &Given) {
   static const std::regex Span(
       R"(\{\{([#^])([a-z_.]+)\}\}([\s\S]*?)\{\{/\2\}\})");
@@ -57,7 +57,7 @@
     Read << File.rdbuf();
     this->Text = Read.str();
   }
-  /// The entry's settings with \p Changed in place of the usual values.
+  /// The entry's settings with \p Changed in place of the default values.
   EntrySettings entryWith(const Fields &Changed) const {
     Fields Given = Changed;
     Given.merge(Fields{{"node_name", "n1"},
--- a/tests/contract/target_contract.cpp
+++ b/tests/contract/target_contract.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Contracts of engines and plain services, against the stand-in.
+// Engines and plain services as the daemon sees them, with the stand-in.
 #include "edge/target.h"
 #include "support/cluster.h"
 
@@ -102,11 +102,11 @@
     CHECK(Seen == Row.Tokens);
   }
   this->Run.vmFault("v-1", R"({"generate":"ok"})");
-  // The receiver's word ends it.
+  // The receiver ends the stream by returning false.
   EngineDone Done;
   auto Leave = [](const EngineToken &) { return TokenVerdict::CallerGone; };
   CHECK(Engine.generate(this->call(8), Leave, Done) == AttemptEnd::CallerGone);
-  // Resume goes on from the token named.
+  // A resumed stream starts at the given token index.
   EngineCall Rest = this->call(8);
   Rest.ResumeFrom = 6;
   std::uint64_t First = 99;
--- a/tests/failure/answers_test.cpp
+++ b/tests/failure/answers_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Promise: a caller receives the whole answer to its own request, or sees that
-// it is not whole.
+// A caller receives the whole response to its own request or can see that it is
+// incomplete.
 #include "support/cluster.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
     REQUIRE(eventually([&] { return this->Run.serving("n1") == 2; }));
   }
 
-  /// Heads of the groups: the VMs that answer.
+  /// Heads of the groups, which respond to requests.
   std::vector<std::string> heads() {
     std::vector<std::string> Found;
     auto Groups = this->Run.status("n1")->getArray("groups");
@@ -59,39 +59,39 @@
                  "answers: one engine is faulty: every answer is whole, no "
                  "token lost or doubled",
                  "[process]") {
-  for (const EngineFault &Row : EngineFaults) {
-    INFO(Row.Name);
-    std::string Bad = this->heads()[0];
-    this->Run.vmFault(Bad, R"({"generate":"ok"})");
-    this->Run.vmFault(Bad, Row.Fault);
-    auto Asked = [&] {
-      return this->Run.atVm(Bad, {.Path = "/counts"}).number("generates");
+  for (const EngineFault &Fault : EngineFaults) {
+    INFO(Fault.Name);
+    std::string Faulty = this->heads()[0];
+    this->Run.vmFault(Faulty, R"({"generate":"ok"})");
+    this->Run.vmFault(Faulty, Fault.Fault);
+    auto RequestCount = [&] {
+      return this->Run.atVm(Faulty, {.Path = "/counts"}).number("generates");
     };
-    // Sessions spread over both groups: go on until the faulty one was asked
-    // for streams and for whole answers.
+    // Sessions spread over both groups: repeat until the faulty engine got a
+    // streamed and a whole request.
     std::uint64_t Streams = 0;
     std::uint64_t Wholes = 0;
     for (int I = 0; I < 40 && (Streams < 1 || Wholes < 1); ++I) {
-      std::uint64_t Before = Asked();
+      std::uint64_t Before = RequestCount();
       std::map<std::string, std::string> Headers{
-          {"X-Waycove-Session", Row.Name + std::to_string(I)}};
-      Reply Answer = this->Run.generate("n1", 12, I % 2 == 0, Headers);
-      INFO(Answer.Status << " " << Answer.Body);
-      REQUIRE(Answer.Status == 200);
-      CHECK_FALSE(Answer.Cut);
-      (I % 2 == 0 ? Streams : Wholes) += Asked() - Before;
+          {"X-Waycove-Session", Fault.Name + std::to_string(I)}};
+      Reply Response = this->Run.generate("n1", 12, I % 2 == 0, Headers);
+      INFO(Response.Status << " " << Response.Body);
+      REQUIRE(Response.Status == 200);
+      CHECK_FALSE(Response.Cut);
+      (I % 2 == 0 ? Streams : Wholes) += RequestCount() - Before;
       if (I % 2 == 1) {
-        CHECK(Answer.text("text") == wholeText(12));
+        CHECK(Response.text("text") == wholeText(12));
         continue;
       }
-      std::vector<std::uint64_t> Seen = streamedIndexes(Answer.Body);
+      std::vector<std::uint64_t> Seen = streamedIndexes(Response.Body);
       REQUIRE(Seen.size() == 12);
       for (std::uint64_t T = 0; T < 12; ++T)
         CHECK(Seen[T] == T);
-      CHECK(Answer.Body.find("event: done") != std::string::npos);
-      CHECK(Answer.Body.find("stray") == std::string::npos);
+      CHECK(Response.Body.find("event: done") != std::string::npos);
+      CHECK(Response.Body.find("stray") == std::string::npos);
     }
-    this->Run.vmFault(Bad, R"({"generate":"ok"})");
+    this->Run.vmFault(Faulty, R"({"generate":"ok"})");
     CHECK(Streams >= 1);
     CHECK(Wholes >= 1);
   }
@@ -103,11 +103,11 @@
                  "[process]") {
   for (const std::string &Head : this->heads())
     this->Run.vmFault(Head, R"({"generate":"die_after","after":3})");
-  Reply Answer = this->Run.generate("n1", 50, true);
-  CHECK(Answer.Status == 200);
-  CHECK(Answer.Cut);
-  CHECK(Answer.Body.find("event: done") == std::string::npos);
-  CHECK(Answer.Body.find("event: error") != std::string::npos);
+  Reply Response = this->Run.generate("n1", 50, true);
+  CHECK(Response.Status == 200);
+  CHECK(Response.Cut);
+  CHECK(Response.Body.find("event: done") == std::string::npos);
+  CHECK(Response.Body.find("event: error") != std::string::npos);
   Reply Whole = this->Run.generate("n1", 50, false);
   CHECK(Whole.Status >= 500);
   CHECK(Whole.error("ran") != "no");
@@ -131,13 +131,13 @@
     return !Running.empty();
   }));
   this->Run.killVm(Running);
-  Reply Answer = Call.get();
-  CHECK_FALSE(Answer.Cut);
-  std::vector<std::uint64_t> Seen = streamedIndexes(Answer.Body);
+  Reply Response = Call.get();
+  CHECK_FALSE(Response.Cut);
+  std::vector<std::uint64_t> Seen = streamedIndexes(Response.Body);
   REQUIRE(Seen.size() == 200);
   for (std::uint64_t T = 0; T < 200; ++T)
     CHECK(Seen[T] == T);
-  // Resumed, or begun again where the death came before the first token.
+  // Retried instead of resumed if it was killed before the first token.
   CHECK(this->Run.counter("n1", "resumes") +
             this->Run.counter("n1", "retries") ==
         1);
@@ -156,24 +156,24 @@
                                 I % 2 ? "w1-key" : "w2-key");
     }));
   for (int I = 0; I < 16; ++I) {
-    Reply Answer = Calls[static_cast<std::size_t>(I)].get();
+    Reply Response = Calls[static_cast<std::size_t>(I)].get();
     std::size_t Count = 10 + static_cast<std::size_t>(I);
     if (I % 2 == 0)
-      CHECK(streamedIndexes(Answer.Body).size() == Count);
+      CHECK(streamedIndexes(Response.Body).size() == Count);
     else
-      CHECK(Answer.text("text") == wholeText(10 + I));
+      CHECK(Response.text("text") == wholeText(10 + I));
   }
 }
 
 TEST_CASE_METHOD(TwoGroups, "answers: the caller leaves: the engine is told",
                  "[process]") {
-  Ask Question{"POST",
-               "/v1/models/model/generate",
-               R"({"prompt":"p","max_tokens":2000,"stream":true})",
-               {{"Authorization", "Bearer w1-key"}},
-               std::chrono::milliseconds(200)};
-  Reply Left = this->Run.ask("n1", Question);
-  CHECK(Left.Cut);
+  Ask Request{"POST",
+              "/v1/models/model/generate",
+              R"({"prompt":"p","max_tokens":2000,"stream":true})",
+              {{"Authorization", "Bearer w1-key"}},
+              std::chrono::milliseconds(200)};
+  Reply Cut = this->Run.ask("n1", Request);
+  CHECK(Cut.Cut);
   CHECK(eventually([&] {
     std::uint64_t Sum = 0;
     for (const std::string &Head : this->heads())
--- a/tests/failure/crash_test.cpp
+++ b/tests/failure/crash_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Requests that end each target that begins to run them were sent on and on.
+// Guards against retrying requests that crash every target that runs them.
 #include "support/neighbours.h"
 
 #include <atomic>
@@ -17,16 +17,17 @@
 using std::chrono::milliseconds;
 
 constexpr int Targets = 10;
-/// Ends of targets after which a request is known, and sends allowed then.
-constexpr int EndsNeeded = 3;
-constexpr int SendsAllowed = 3;
-/// For what one node saw to be known at all.
-constexpr milliseconds KnownEverywhere(2000);
+/// Crashes after which a request is blamed.
+constexpr int CrashesToBlame = 3;
+/// Attempts allowed after that.
+constexpr int MaxAttempts = 3;
+/// Time for one node's observation to reach all nodes.
+constexpr milliseconds PropagationTime(2000);
 const std::string Crash = "crash 30";
 
 } // namespace
 
-/// Three entries before plain targets, which some requests end.
+/// Three entries with plain targets, which some requests crash.
 struct CrashFixture : Neighbours {
   CrashFixture()
       : Neighbours("revoke_bound_ms: 5000, drain_bound_ms: 2000, "
@@ -36,8 +37,8 @@
   static std::string target(int Number) {
     return "p-" + std::to_string(Number);
   }
-  /// How many targets ended under the request.
-  int ends(const std::string &Body = Crash) {
+  /// Number of targets that crashed under the request.
+  int crashes(const std::string &Body = Crash) {
     int Count = 0;
     for (int I = 1; I <= Targets; ++I) {
       std::istringstream Lines(this->Run.logOf(target(I)));
@@ -46,75 +47,76 @@
     }
     return Count;
   }
-  /// Starts again whatever has ended.
-  void startEnded() {
+  /// Restarts the targets that crashed.
+  void restartCrashed() {
     for (int I = 1; I <= Targets; ++I)
       if (this->Run.vm(target(I)).wait(milliseconds(0)) != -1) {
         this->dropTarget(target(I));
         this->Run.startVm(target(I));
       }
   }
-  /// Sends the request to all entries in turn until so many targets ended.
-  void crashAtAll(const std::string &Body = Crash) {
-    for (int I = 0; this->ends(Body) < EndsNeeded && I < Targets; ++I)
+  /// Sends the request to all entries in turn until it is blamed, and waits
+  /// until all nodes know.
+  void crashUntilBlamed(const std::string &Body = Crash) {
+    for (int I = 0; this->crashes(Body) < CrashesToBlame && I < Targets; ++I)
       this->call(Entries[static_cast<std::size_t>(I) % Entries.size()], "key-1",
                  Body);
-    REQUIRE(this->ends(Body) >= EndsNeeded);
-    std::this_thread::sleep_for(KnownEverywhere);
-    this->startEnded();
+    REQUIRE(this->crashes(Body) >= CrashesToBlame);
+    std::this_thread::sleep_for(PropagationTime);
+    this->restartCrashed();
     REQUIRE(this->allTake(Entries, "key-1"));
   }
 };
 
-// A request under which three targets had ended was sent to 17 more.
+// Guards against unlimited attempts after a request is blamed.
 TEST_CASE_METHOD(CrashFixture,
                  "crashing request: three targets ended under it: sent to no "
                  "more than three at any node",
                  "[failure]") {
-  this->crashAtAll();
-  int Before = this->ends();
+  this->crashUntilBlamed();
+  int Before = this->crashes();
   for (int Round = 0; Round < 4; ++Round) {
     for (const std::string &Node : Entries)
       this->call(Node, "key-1", Crash);
-    this->startEnded();
+    this->restartCrashed();
   }
-  CHECK(this->ends() - Before <= SendsAllowed);
+  CHECK(this->crashes() - Before <= MaxAttempts);
   for (const std::string &Node : Entries)
     CHECK(this->call(Node, "key-1", Crash) == 503);
   CHECK(this->allTake(Entries, "key-1"));
 }
 
-// A node that had just started sent the request on, since it knew nothing.
+// Guards against a restarted node that does not know which requests are blamed.
 TEST_CASE_METHOD(CrashFixture,
                  "crashing request: nodes start again one after the other: "
                  "they learn of it",
                  "[failure]") {
-  this->crashAtAll();
-  int Before = this->ends();
+  this->crashUntilBlamed();
+  int Before = this->crashes();
   for (const std::string &Node : Entries) {
     this->restart(Node);
     REQUIRE(this->allTake({Node}, "key-1"));
     for (int I = 0; I < 3; ++I)
       this->call(Node, "key-1", Crash);
-    this->startEnded();
+    this->restartCrashed();
     REQUIRE(this->allTake(Entries, "key-1"));
   }
-  CHECK(this->ends() - Before <= SendsAllowed);
+  CHECK(this->crashes() - Before <= MaxAttempts);
 }
 
-// Nodes that all started at once knew nothing.
+// Guards against losing what is blamed when all nodes restart at once.
 TEST_CASE_METHOD(CrashFixture,
                  "crashing request: all nodes start again at once: they learn "
                  "of it",
                  "[failure]") {
-  this->crashAtAll();
+  this->crashUntilBlamed();
   REQUIRE(eventually([&] {
     return this->Run.logOf(this->reader()).find("request_blamed") !=
            std::string::npos;
   }));
-  // The first node of the data centre puts it down for all.
-  std::this_thread::sleep_for(KnownEverywhere + milliseconds(2000));
-  int Before = this->ends();
+  // The first node of the data centre writes it to the store for all.
+  std::this_thread::sleep_for(PropagationTime + milliseconds(2000));
+  int Before = this->crashes();
   for (const std::string &Node : Entries)
     this->Run.killNode(Node);
   for (const std::string &Node : Entries)
@@ -122,15 +124,14 @@
   REQUIRE(eventually([&] { return this->allTake(Entries, "key-1"); }));
   for (const std::string &Node : Entries) {
     this->call(Node, "key-1", Crash);
-    this->startEnded();
+    this->restartCrashed();
     this->call(Node, "key-1", Crash);
-    this->startEnded();
+    this->restartCrashed();
   }
-  CHECK(this->ends() - Before <= 1);
+  CHECK(this->crashes() - Before <= 1);
 }
 
-// An innocent request that many send must not be taken for the one that
-// crashes targets because it was always under way as well.
+// Guards against blaming a frequent request that is in flight at each crash.
 TEST_CASE_METHOD(CrashFixture,
                  "crashing request: a popular one runs beside it: served on",
                  "[failure]") {
@@ -150,10 +151,10 @@
         std::this_thread::sleep_for(milliseconds(5));
       }
     });
-  this->crashAtAll();
+  this->crashUntilBlamed();
   Stop = true;
-  for (std::thread &Row : Callers)
-    Row.join();
+  for (std::thread &Caller : Callers)
+    Caller.join();
   for (int I = 0; I < 5; ++I)
     for (const std::string &Node : Entries)
       CHECK(this->call(Node, "key-1", "popular") == 200);
--- a/tests/failure/entry_test.cpp
+++ b/tests/failure/entry_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// An entry on the platform, as real processes: what callers get while targets
-// fail, keys are taken away and the store is gone.
+// An entry as a real process: responses to callers while targets fail, keys are
+// revoked and the store is unavailable.
 #include "net/http.h"
 #include "support/entry_fixture.h"
 
@@ -50,7 +50,7 @@
 TEST_CASE_METHOD(EntryFixture,
                  "entry: a head dies within a stream: goes on elsewhere whole",
                  "[failure]") {
-  // All heads break off after five events; each may be resumed once more.
+  // Each head closes the connection after five events.
   this->Run.vmFault("e-1", R"({"call":"die_after"})");
   this->Run.vmFault("e-2", R"({"call":"die_after"})");
   for (int I = 0; I < 6; ++I) {
@@ -94,9 +94,9 @@
                  "entry: a once-only call breaks after it ran: 502, run once",
                  "[failure]") {
   this->faultAll("p", 2, "run_reset");
-  Reply Answer = this->call("/once/x", "r1");
-  CHECK(Answer.Status == 502);
-  CHECK(Answer.RetryAfter.empty());
+  Reply Response = this->call("/once/x", "r1");
+  CHECK(Response.Status == 502);
+  CHECK(Response.RetryAfter.empty());
   CHECK(this->plainRuns() == 1);
 }
 
@@ -116,9 +116,9 @@
     "[failure]") {
   this->faultAll("p", 2, "busy");
   auto Before = std::chrono::steady_clock::now();
-  Reply Answer = this->call("/once/x", "r1");
-  CHECK(Answer.Status == 503);
-  CHECK_FALSE(Answer.RetryAfter.empty());
+  Reply Response = this->call("/once/x", "r1");
+  CHECK(Response.Status == 503);
+  CHECK_FALSE(Response.RetryAfter.empty());
   CHECK(std::chrono::steady_clock::now() - Before < std::chrono::seconds(1));
   CHECK(this->plainRuns() == 0);
 }
@@ -143,7 +143,7 @@
   CHECK(eventually(
       [&] { return this->call("/safe/x", "r1", "key-2").Status == 200; }));
   CHECK(this->call("/safe/x", "r2").Status == 401);
-  // An older version never comes back.
+  // An older version never takes effect.
   this->publish(1, "key-1");
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   CHECK(this->call("/safe/x", "r3").Status == 401);
@@ -173,12 +173,12 @@
   for (const char *How : {"refuse", "silent"}) {
     this->Run.atPlatform(
         {"POST", std::string("/store/down?how=") + How, "", {}});
-    // Only the keys count: a target may be busy for a moment.
+    // Only the refusal because of the keys counts, not that of a busy target.
     CHECK(eventually(
         [&] {
-          Reply Answer = this->call("/safe/x", "r1");
-          return Answer.Status == 503 &&
-                 Answer.Body.find("keys are current") != std::string::npos;
+          Reply Response = this->call("/safe/x", "r1");
+          return Response.Status == 503 &&
+                 Response.Body.find("keys are current") != std::string::npos;
         },
         std::chrono::milliseconds(4500)));
     CHECK_FALSE(this->isReady());
@@ -189,7 +189,7 @@
   }
 }
 
-/// The same, allowed to go on with keys that cannot be proven current.
+/// The same, but keys that are not proven current may be used.
 struct OpenEntryFixture : EntryFixture {
   OpenEntryFixture() : EntryFixture(", revoke_fail_closed: false") {}
 };
@@ -228,7 +228,7 @@
   this->Run.startNode("n1");
   REQUIRE(eventually([&] { return this->isReady(); }));
   CHECK(eventually([&] { return Generation() == Before; }));
-  // Its groups serve as before, and it forms others as needed.
+  // Its groups still serve, and it forms a new one when needed.
   CHECK(this->call("/chat/x", "r1").Status == 200);
   this->Run.killVm("e-1");
   CHECK(eventually([&] { return this->call("/chat/x", "r2").Status == 200; }));
@@ -245,15 +245,15 @@
     Poco::Net::StreamSocket Socket(
         Poco::Net::SocketAddress("127.0.0.1", this->Run.httpPort("n1")));
     Socket.sendBytes(Bytes.data(), static_cast<int>(Bytes.size()));
-    std::array<char, 64> Part{};
-    REQUIRE(Socket.receiveBytes(Part.data(), Part.size()) > 0);
+    std::array<char, 64> Chunk{};
+    REQUIRE(Socket.receiveBytes(Chunk.data(), Chunk.size()) > 0);
   }
   CHECK(eventually(
       [&] {
-        std::uint64_t Left = 0;
+        std::uint64_t Disconnects = 0;
         for (const char *Vm : {"e-1", "e-2", "e-3", "e-4"})
-          Left += this->Run.atVm(Vm, {.Path = "/runs"}).number("left");
-        return Left == 1;
+          Disconnects += this->Run.atVm(Vm, {.Path = "/runs"}).number("left");
+        return Disconnects == 1;
       },
       std::chrono::milliseconds(500)));
 }
@@ -274,9 +274,7 @@
   CHECK(this->Run.logOf("n1").find("daemon_stopped") != std::string::npos);
 }
 
-// Signals come in series. One that came while the main thread was not waiting
-// for it went to the thread that writes the log, and ended the process there
-// and then.
+// Guards against a signal that ends the process because another thread gets it.
 TEST_CASE_METHOD(EntryFixture,
                  "entry: signals come during a planned stop: answers in flight "
                  "are completed",
@@ -298,13 +296,13 @@
                  "[failure]") {
   this->faultAll("e", 4, "still");
   std::thread Caller([&] { this->call("/chat/x", "r1"); });
-  Poco::Net::StreamSocket Kept(
+  Poco::Net::StreamSocket Idle(
       Poco::Net::SocketAddress("127.0.0.1", this->Run.httpPort("n1")));
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   this->Run.node("n1").signal(SIGTERM);
-  Kept.setReceiveTimeout(Poco::Timespan(3, 300000));
+  Idle.setReceiveTimeout(Poco::Timespan(3, 300000));
   std::array<char, 1> Byte{};
-  CHECK(Kept.receiveBytes(Byte.data(), Byte.size()) == 0);
+  CHECK(Idle.receiveBytes(Byte.data(), Byte.size()) == 0);
   CHECK(this->Run.node("n1").wait(std::chrono::milliseconds(1)) == -1);
   Caller.join();
 }
@@ -312,20 +310,20 @@
 TEST_CASE_METHOD(EntryFixture,
                  "entry: late in a planned stop: new requests are refused",
                  "[failure]") {
-  // Streams that stand still keep the process until the end of its grace.
+  // Stalled streams keep the process alive until its grace period ends.
   this->faultAll("e", 4, "still");
   std::thread Caller([&] { this->call("/chat/x", "r1"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   this->Run.node("n1").signal(SIGTERM);
   std::this_thread::sleep_for(std::chrono::milliseconds(3000));
-  Poco::Net::StreamSocket Kept(
+  Poco::Net::StreamSocket Idle(
       Poco::Net::SocketAddress("127.0.0.1", this->Run.httpPort("n1")));
   const std::string Bytes =
       "POST /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: late\r\n"
       "Authorization: Bearer key-1\r\nContent-Length: 0\r\n\r\n";
-  Kept.sendBytes(Bytes.data(), static_cast<int>(Bytes.size()));
+  Idle.sendBytes(Bytes.data(), static_cast<int>(Bytes.size()));
   std::array<char, 12> Head{};
-  REQUIRE(Kept.receiveBytes(Head.data(), Head.size()) == 12);
+  REQUIRE(Idle.receiveBytes(Head.data(), Head.size()) == 12);
   CHECK(std::string(Head.data(), Head.size()) == "HTTP/1.1 503");
   CHECK(this->plainRuns() == 0);
   Caller.join();
@@ -345,16 +343,16 @@
         Poco::Net::SocketAddress("127.0.0.1", this->Run.httpPort("n1")));
     Socket.setReceiveTimeout(Poco::Timespan(2, 0));
     Socket.sendBytes(Bytes.data(), static_cast<int>(Bytes.size()));
-    std::string Answer;
-    std::array<char, 512> Part{};
+    std::string Response;
+    std::array<char, 512> Chunk{};
     try {
-      while (int Got = Socket.receiveBytes(Part.data(), Part.size()))
-        Answer.append(Part.data(), static_cast<std::size_t>(Got));
+      while (int Received = Socket.receiveBytes(Chunk.data(), Chunk.size()))
+        Response.append(Chunk.data(), static_cast<std::size_t>(Received));
     } catch (const Poco::Exception &) {
-      // Reset after the answer, since bytes were left unread.
+      // A reset after the response, since bytes were left unread.
     }
-    CHECK(Answer.rfind("HTTP/1.1 400", 0) == 0);
-    CHECK(Answer.find("HTTP/1.1", 8) == std::string::npos);
+    CHECK(Response.rfind("HTTP/1.1 400", 0) == 0);
+    CHECK(Response.find("HTTP/1.1", 8) == std::string::npos);
   }
   CHECK(this->plainRuns() == 0);
 }
--- a/tests/failure/leaving_test.cpp
+++ b/tests/failure/leaving_test.cpp
@@ -2,22 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Requests reached a target 2,451 ms after the registry had dropped it, where
-// operators allow 2,000. The node that sent them had run undisturbed, and the
-// store had answered everybody for seconds.
-//
-// How it came about: the node that reads the registry for the others had just
-// got the store back, which it alone had lost. It took its own loss for the
-// store's, kept what had gone from the registry for 2,300 ms, as if the entry
-// had lapsed with the store away, and told those who read from it to do the
-// same.
-//
-// What proved it: the nodes that read for themselves dropped the target within
-// 5 ms, the reader and all who read from it 2,300 ms after the reader's first
-// answer; and so it is here, with the real programs.
-//
-// The same promise broke in four more ways while that was traced; each has its
-// test below.
+// Guards against requests that are sent to a target later than the drain bound
+// after the registry removed it.
 #include "support/neighbours.h"
 
 #include <Poco/Exception.h>
@@ -34,18 +20,18 @@
 
 using std::chrono::milliseconds;
 
-/// By when a leaving target gets nothing new.
+/// After this time a removed target must get no new request.
 constexpr milliseconds DrainBound(1500);
-/// Longer than anything that keeps a target in view for a while.
-constexpr milliseconds WatchTime(4500);
-/// Longer than any call of the store waits for its answer.
-constexpr milliseconds LossTime(4000);
-/// Some ten of these go to each target in a second.
-constexpr int LeastCalls = 100;
+/// Longer than any time for which a node may retain a removed target.
+constexpr milliseconds ObservationTime(4500);
+/// Longer than the timeout of any call to the store.
+constexpr milliseconds OutageDuration(4000);
+/// A run with fewer calls proves nothing.
+constexpr int MinCalls = 100;
 
 } // namespace
 
-/// Three entries before three targets of a plain service.
+/// Three entries with three targets of a plain service.
 struct LeavingFixture : Neighbours {
   LeavingFixture()
       : Neighbours("revoke_bound_ms: 20000, drain_bound_ms: " +
@@ -64,11 +50,12 @@
     return Back != std::string::npos && Lost != std::string::npos &&
            Back > Lost;
   }
-  /// Drops a target, calls \p Nodes and says how long requests went there.
+  /// Removes a target from the registry, calls \p Nodes and returns for how
+  /// long requests were still sent to it.
   milliseconds sentAfterDrop(const std::vector<std::string> &Nodes) {
     auto Dropped = std::chrono::steady_clock::now();
     this->dropTarget("p-1");
-    REQUIRE(this->callUntil(Nodes, Dropped + WatchTime) > LeastCalls);
+    REQUIRE(this->callUntil(Nodes, Dropped + ObservationTime) > MinCalls);
     return std::chrono::duration_cast<milliseconds>(this->lastRunAt("p-1") -
                                                     Dropped);
   }
@@ -80,7 +67,7 @@
                  "[failure]") {
   std::string Reader = this->reader();
   this->Links[Reader]->set(LinkFault::Silent);
-  std::this_thread::sleep_for(LossTime);
+  std::this_thread::sleep_for(OutageDuration);
   this->Links[Reader]->set(LinkFault::None);
   REQUIRE(eventually([&] { return this->hasStoreBack(Reader); }));
   CHECK(this->sentAfterDrop(Entries) < DrainBound);
@@ -90,13 +77,13 @@
                  "leaving target: a node's connections to the store go silent: "
                  "it asks on new ones",
                  "[failure]") {
-  // Alone with the store: nobody reads for it, and nobody relies on it.
+  // The only remaining node reads the store for itself.
   std::string Reader = this->reader();
   std::vector<std::string> Others = this->others(Reader);
   this->Run.killNode(Reader);
   this->Run.killNode(Others[1]);
   REQUIRE(eventually([&] { return !this->follows(Others[0]); }));
-  // A change ends the poll under way, so that the next has just begun.
+  // A change ends the current poll, so that a new one has just started.
   std::this_thread::sleep_for(milliseconds(2500));
   this->dropTarget("p-3");
   std::this_thread::sleep_for(milliseconds(500));
@@ -111,7 +98,7 @@
     "[failure]") {
   std::string Reader = this->reader();
   this->Links[Reader]->set(LinkFault::Silent);
-  std::this_thread::sleep_for(LossTime);
+  std::this_thread::sleep_for(OutageDuration);
   CHECK(this->sentAfterDrop({Reader}) < DrainBound);
 }
 
@@ -121,61 +108,61 @@
                  "[failure]") {
   for (const std::string &Node : Entries)
     this->Links[Node]->set(LinkFault::Silent);
-  std::this_thread::sleep_for(LossTime);
+  std::this_thread::sleep_for(OutageDuration);
   this->Run.vmFault("p-1", R"({"call":"closing"})");
   CHECK(this->sentAfterDrop(Entries) < DrainBound);
 }
 
-/// An entry before a target that takes connections and reads nothing for a
-/// while, as one that a cut hides does.
-struct DeafTargetFixture : LeavingFixture {
-  DeafTargetFixture() : Deaf(Poco::Net::SocketAddress("127.0.0.1", 0)) {
+/// Three entries with a target that accepts connections but does not read, like
+/// one behind a network partition.
+struct UnreadTargetFixture : LeavingFixture {
+  UnreadTargetFixture() : Listener(Poco::Net::SocketAddress("127.0.0.1", 0)) {
     for (const char *Vm : {"p-1", "p-2", "p-3"})
       this->dropTarget(Vm);
     this->Run.atPlatform({"POST",
                           "/store/put?topic=keyed.servers&key=deaf",
                           R"({"service":"plain","address":")" +
-                              this->Deaf.address().toString() +
+                              this->Listener.address().toString() +
                               R"(","zone":"a","version":"v1","slots":8,)"
                               R"("state":"ready","cold_left_ms":0,)"
                               R"("sequence":0,"born":1764700000123})",
                           {}});
   }
-  /// How the next connection to the target ends.
+  /// Whether the next connection to the target ends with a reset.
   bool endsInReset() {
-    REQUIRE(
-        this->Deaf.poll(Poco::Timespan(20, 0), Poco::Net::Socket::SELECT_READ));
-    Poco::Net::StreamSocket Socket = this->Deaf.acceptConnection();
-    // Past the caller's deadline; a cut that ends now would let bytes through
-    // that are still to be delivered.
+    REQUIRE(this->Listener.poll(Poco::Timespan(20, 0),
+                                Poco::Net::Socket::SELECT_READ));
+    Poco::Net::StreamSocket Socket = this->Listener.acceptConnection();
+    // Waits past the caller's deadline. After a regular close, the bytes would
+    // be readable now.
     std::this_thread::sleep_for(milliseconds(1200));
-    std::array<char, 4096> Part{};
+    std::array<char, 4096> Chunk{};
     try {
       Socket.setReceiveTimeout(Poco::Timespan(2, 0));
-      while (Socket.receiveBytes(Part.data(), Part.size()) > 0)
+      while (Socket.receiveBytes(Chunk.data(), Chunk.size()) > 0)
         ;
       return false;
     } catch (const Poco::Net::ConnectionResetException &) {
       return true;
     }
   }
-  Poco::Net::ServerSocket Deaf;
+  Poco::Net::ServerSocket Listener;
 };
 
-TEST_CASE_METHOD(DeafTargetFixture,
+TEST_CASE_METHOD(UnreadTargetFixture,
                  "leaving target: a send is given up unread: it is not "
                  "delivered later",
                  "[failure]") {
   std::thread Caller([&] {
     eventually([&] {
-      Reply Answer = this->Run.ask("n1", {"POST",
-                                          "/safe/x",
-                                          "body",
-                                          {{"Host", "a.example"},
-                                           {"Authorization", "Bearer key-1"},
-                                           {"X-Request-Id", "given-up"},
-                                           {"X-Deadline-Ms", "400"}}});
-      return Answer.Status == 504;
+      Reply Response = this->Run.ask("n1", {"POST",
+                                            "/safe/x",
+                                            "body",
+                                            {{"Host", "a.example"},
+                                             {"Authorization", "Bearer key-1"},
+                                             {"X-Request-Id", "given-up"},
+                                             {"X-Deadline-Ms", "400"}}});
+      return Response.Status == 504;
     });
   });
   CHECK(this->endsInReset());
--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -2,25 +2,25 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Targets that start again under their ids, as real processes: whatever hung on
-// the life that ended, requests are served by the new one soon.
+// Targets as real processes that restart under their ids: the new incarnations
+// soon serve requests.
 #include "platform/control.h"
 #include "support/entry_fixture.h"
 
 namespace waycove::test {
 
-/// Two groups of two engines, of which some start again.
+/// Two groups of two engines, of which some restart.
 struct RebirthFixture : EntryFixture {
   void restart(const std::string &Vm, bool Unseen = false) {
     this->Run.atVm(Vm, {"POST", Unseen ? "/restart?unseen=1" : "/restart"});
   }
-  /// Whether \p Vm is the head or a member of a group that is open and whole.
+  /// Whether a streamed request gets its whole response.
   bool serves(int Call) {
     return this->call("/chat/x", "r" + std::to_string(Call)).Body ==
            wholeStream();
   }
-  /// Lines of the log so far that name the group's opening.
-  std::size_t opened() {
+  /// Number of logged orders to open a group.
+  std::size_t openOrders() {
     std::string Log = this->Run.logOf("n1");
     std::size_t Count = 0;
     for (std::size_t At = 0;
@@ -38,7 +38,7 @@
   for (const char *Vm : {"e-1", "e-2", "e-3", "e-4"})
     this->restart(Vm);
   CHECK(eventually([&] { return this->serves(1); }));
-  CHECK(eventually([&] { return this->opened() >= 4; }));
+  CHECK(eventually([&] { return this->openOrders() >= 4; }));
 }
 
 TEST_CASE_METHOD(RebirthFixture,
@@ -46,10 +46,10 @@
                  "their members are formed anew while that shows them open",
                  "[failure]") {
   REQUIRE(this->serves(0));
-  REQUIRE(eventually([&] { return this->opened() >= 2; }));
+  REQUIRE(eventually([&] { return this->openOrders() >= 2; }));
   for (const char *Vm : {"e-1", "e-2", "e-3", "e-4"})
     this->restart(Vm, true);
-  // Nothing tells of it but the refusals of the heads.
+  // Only the refusals of the heads reveal the restarts.
   this->serves(1);
   this->serves(2);
   CHECK(eventually([&] {
@@ -65,15 +65,15 @@
                  "rebirth: another process answers in a target's place, or a "
                  "later life: orders and questions tell that its life ended",
                  "[failure]") {
-  Settings Given;
-  Given.Entry.emplace();
-  EntryBoard Board(Given, IncarnationId("i"));
+  Settings Config;
+  Config.Entry.emplace();
+  EntryBoard Board(Config, IncarnationId("i"));
   platform::TargetControl Control(Board);
   TargetInfo Target;
   Target.Id = VmId("e-1");
   Target.Address = {"127.0.0.1", this->Run.vmPort("e-1")};
   Target.Born = WallMs(1);
-  // It was listed as it started long ago; what answers has started since.
+  // The registry lists an earlier start time than the process reports.
   CHECK(Control.probe(Target) == Reachability::ProcessEnded);
   CHECK(Control.queryStatus(Target) == MemberStatus::Dead);
   Target.Born = WallMs();
--- a/tests/failure/stop_test.cpp
+++ b/tests/failure/stop_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Promises: a leaving target gets no new work after a few seconds; a planned
-// stop cuts nothing in flight; "not run" is true.
+// A leaving target gets no new requests after the bound, a planned stop cuts no
+// response, and "not run" is only reported if it is true.
 #include "support/cluster.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
     this->Run.ExtraSettings = "connect_timeout_ms: 300";
     this->Run.addVms("d1", 2, "a", "d1");
     this->Run.addVms("d2", 2, "a", "d2");
-    // Room for a group that has to move.
+    // Spare VMs for a group that has to move.
     this->Run.addVms("d3", 2, "a", "d3");
     this->Run.addVms("s", 2, "a", "s", "ledger");
     for (const char *Node : {"n1", "n2", "n3"})
@@ -36,9 +36,9 @@
         this->Run.atVm(Vm, {.Path = "/counts"}).number("calls"));
   }
 
-  /// No new call reaches \p Vm, through any daemon, from \p Within after now.
-  void checkLeft(const std::string &Vm, std::chrono::milliseconds Within) {
-    std::this_thread::sleep_for(Within);
+  /// Checks that after \p Bound no daemon sends a new call to \p Vm.
+  void checkNoNewCalls(const std::string &Vm, std::chrono::milliseconds Bound) {
+    std::this_thread::sleep_for(Bound);
     int Before = this->callsAt(Vm);
     for (int I = 0; I < 24; ++I) {
       const char *Node = I % 3 == 0 ? "n1" : I % 3 == 1 ? "n2" : "n3";
@@ -57,7 +57,7 @@
                  "[process]") {
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"s-1","state":"leaving"})", {}});
-  this->checkLeft("s-1", LeavingBound);
+  this->checkNoNewCalls("s-1", LeavingBound);
 }
 
 TEST_CASE_METHOD(StopCluster,
@@ -66,7 +66,7 @@
                  "[process]") {
   REQUIRE(this->Run.apply("n2", "drain", "vm-s-1", "{vms: [s-1]}").Status ==
           200);
-  this->checkLeft("s-1", LeavingBound);
+  this->checkNoNewCalls("s-1", LeavingBound);
   Reply Undo = this->Run.apply("n2", "drain", "vm-s-1", "{vms: [other]}");
   REQUIRE(Undo.Status == 200);
   int Before = this->callsAt("s-1");
@@ -83,13 +83,13 @@
   this->Run.platformFault(
       R"({"append":"refuse","read":"refuse","list":"refuse"})");
   this->Run.vmFault("s-1", R"({"leaving":"yes","service":"busy"})");
-  // Only n1 asks until its own word is heard once.
+  // Only n1 gets a response that says that the target is leaving.
   REQUIRE(eventually([&] {
     this->Run.callService("n1", "");
     return this->Run.logOf("n1").find("vm_leaving") != std::string::npos;
   }));
   this->Run.vmFault("s-1", R"({"service":"ok"})");
-  this->checkLeft("s-1", LeavingBound);
+  this->checkNoNewCalls("s-1", LeavingBound);
 }
 
 TEST_CASE_METHOD(StopCluster,
@@ -113,12 +113,12 @@
           .apply("n1", "drain", "one", "{match: {domain: [" + Domain + "]}}")
           .Status == 200);
   for (auto &Call : Calls) {
-    Reply Answer = Call.get();
-    CHECK_FALSE(Answer.Cut);
-    CHECK(streamedIndexes(Answer.Body).size() == 300);
+    Reply Response = Call.get();
+    CHECK_FALSE(Response.Cut);
+    CHECK(streamedIndexes(Response.Body).size() == 300);
   }
   CHECK(this->Run.counter("n1", "resumes") == 0);
-  // And then the group moves.
+  // Then the group moves.
   CHECK(eventually([&] {
     auto Groups = this->Run.status("n1")->getArray("groups");
     for (unsigned I = 0; I < Groups->size(); ++I)
@@ -154,9 +154,9 @@
                      "{a: 1}, match: {role: [engine]}, workspaces: {}}")
               .Status == 200);
   for (auto &Call : Calls) {
-    Reply Answer = Call.get();
-    CHECK_FALSE(Answer.Cut);
-    CHECK(streamedIndexes(Answer.Body).size() == 400);
+    Reply Response = Call.get();
+    CHECK_FALSE(Response.Cut);
+    CHECK(streamedIndexes(Response.Body).size() == 400);
   }
   CHECK(this->Run.counter("n1", "resumes") == 0);
   CHECK(eventually([&] {
@@ -184,19 +184,19 @@
   this->Run.node("n2").signal(SIGTERM);
   REQUIRE(eventually(
       [&] { return this->Run.ask("n2", {.Path = "/readyz"}).Status == 503; }));
-  // New work is refused, as not run.
+  // New requests are refused as not run.
   Reply Refused = this->Run.generate("n2", 5);
   CHECK((Refused.Refused || Refused.error() == "stopping"));
   for (int I = 0; I < 12; ++I) {
-    Reply Answer = Calls[static_cast<std::size_t>(I)].get();
-    CHECK(Answer.Status == 200);
-    CHECK_FALSE(Answer.Cut);
+    Reply Response = Calls[static_cast<std::size_t>(I)].get();
+    CHECK(Response.Status == 200);
+    CHECK_FALSE(Response.Cut);
     if (I % 2 == 0)
-      CHECK(streamedIndexes(Answer.Body).size() ==
+      CHECK(streamedIndexes(Response.Body).size() ==
             150 + 10 * static_cast<std::size_t>(I));
   }
   CHECK(this->Run.node("n2").wait(std::chrono::seconds(15)) == 0);
-  // The others control its groups by now.
+  // The other daemons take over its groups.
   CHECK(eventually([&] { return this->Run.serving("n1") == 2; }));
 }
 
@@ -221,8 +221,8 @@
   CHECK(this->Run.logOf("n2").find("\"cut\":1") != std::string::npos);
 }
 
-/// How both service VMs misbehave, and what may then be said of a call that
-/// may not be repeated and has no key.
+/// A fault of both service VMs, and what a caller is told about whether its
+/// unrepeatable call without a key ran.
 struct NotRunCase {
   const char *Name;
   const char *Fault;
@@ -231,32 +231,32 @@
 
 TEST_CASE_METHOD(StopCluster, "not run: said only where no target ran it",
                  "[process]") {
-  for (const NotRunCase &Row : std::vector<NotRunCase>{
+  for (const NotRunCase &Case : std::vector<NotRunCase>{
            {"busy", R"({"service":"busy"})", "no"},
            {"reset after running", R"({"service":"reset"})", "unknown"},
            {"reset before running", R"({"service":"drop_before"})", "unknown"},
            {"too slow", R"({"service":"slow"})", "unknown"},
            {"answers another request", R"({"service":"crossed"})", "unknown"},
        }) {
-    INFO(Row.Name);
+    INFO(Case.Name);
     for (const char *Vm : {"s-1", "s-2"})
-      this->Run.vmFault(Vm, Row.Fault);
+      this->Run.vmFault(Vm, Case.Fault);
     int Before = this->callsAt("s-1") + this->callsAt("s-2");
-    Reply Answer =
+    Reply Response =
         this->Run.callService("n1", "", {{"X-Waycove-Deadline-Ms", "400"}});
-    INFO(Answer.Status << " " << Answer.Body);
-    CHECK(Answer.error("ran") == Row.Ran);
+    INFO(Response.Status << " " << Response.Body);
+    CHECK(Response.error("ran") == Case.Ran);
     std::this_thread::sleep_for(std::chrono::milliseconds(600));
     int Ran = this->callsAt("s-1") + this->callsAt("s-2") - Before;
     CHECK(Ran <= 1);
-    if (Answer.error("ran") == "no")
+    if (Response.error("ran") == "no")
       CHECK(Ran == 0);
   }
   this->Run.killVm("s-1");
   this->Run.killVm("s-2");
-  Reply Answer = this->Run.callService("n1", "");
-  CHECK(Answer.error("ran") == "no");
-  // A deadline that passed already.
+  Reply Response = this->Run.callService("n1", "");
+  CHECK(Response.error("ran") == "no");
+  // The deadline has already passed.
   Reply Late =
       this->Run.callService("n1", "", {{"X-Waycove-Deadline-Ms", "0"}});
   CHECK(Late.error("ran") == "no");
--- a/tests/unit/framing_test.cpp
+++ b/tests/unit/framing_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Message framing: where a body ends, what is ambiguous, whole events.
+// HTTP message framing: the end of a body, ambiguous bodies, whole events.
 #include "net/framing.h"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::optional<BodyDecoder> bodyOf(const std::string &Fields) {
+std::optional<BodyDecoder> decoderFor(const std::string &Fields) {
   auto Head =
       parseRequestHead("POST /x/ HTTP/1.1\r\nHost: a\r\n" + Fields + "\r\n");
   return Head ? requestBody(*Head) : std::nullopt;
@@ -26,7 +26,7 @@
         "Content-Length: -1\r\n", "Transfer-Encoding: gzip\r\n",
         "Transfer-Encoding: chunked, chunked\r\n", "Content-Length : 4\r\n"}) {
     INFO(Fields);
-    CHECK_FALSE(bodyOf(Fields).has_value());
+    CHECK_FALSE(decoderFor(Fields).has_value());
   }
 }
 
@@ -102,10 +102,10 @@
   From.add("Transfer-Encoding", "chunked");
   From.add("X-Other", "2");
   From.add("X-Other", "3");
-  Poco::Net::MessageHeader Into;
-  copyEndToEnd(From, Into);
-  CHECK(Into.size() == 2);
-  CHECK(Into.get("X-Other") == "2");
+  Poco::Net::MessageHeader Out;
+  copyEndToEnd(From, Out);
+  CHECK(Out.size() == 2);
+  CHECK(Out.get("X-Other") == "2");
 }
 
 } // namespace waycove::test
