--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -109,7 +109,8 @@
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.Vitals.read(
       [&](const VitalsTable &Vitals) -> std::optional<SelectedTarget> {
-        const ServingTarget *Best = chooseTarget(Targets->second, Vitals, Query);
+        const ServingTarget *Best =
+            chooseTarget(Targets->second, Vitals, Query);
         if (!Best)
           return std::nullopt;
         return SelectedTarget{
--- a/src/entry/relay_request.h
+++ b/src/entry/relay_request.h
@@ -24,7 +24,7 @@
   const HttpRoute *Route = nullptr;
   /// Empty on public routes and where no workspaces are configured.
   WorkspaceId Workspace;
-  /// Owner of the API key; null where Workspace is empty.
+  /// Owner of the API key; null if Workspace is empty.
   const KeyOwner *Owner = nullptr;
   ServiceId Service;
   /// The same whenever the caller sends the request again, at any node.
@@ -37,7 +37,7 @@
 struct RegistrySnapshot {
   /// End of the applied records; comparable between nodes.
   StorePosition Position;
-  /// For how long the registry may have changed without this node knowing.
+  /// Time since this node last knew all changes of the registry.
   Millis Age{0};
 };
 
