--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -72,11 +72,11 @@
   TargetInfo Target;
   Target.Id = VmId("e-1");
   Target.Address = {"127.0.0.1", this->Run.vmPort("e-1")};
-  Target.Born = WallMs(1);
+  Target.StartedAt = WallMs(1);
   // It was listed as it started long ago; what answers has started since.
   CHECK(Control.reach(Target) == Reach::Ended);
   CHECK(Control.ask(Target) == MemberFate::Dead);
-  Target.Born = WallMs();
+  Target.StartedAt = WallMs();
   CHECK(Control.reach(Target) == Reach::Answers);
   auto Other = std::make_shared<TargetInfo>(Target);
   Other->Id = VmId("another");
--- a/tests/failure/restored_test.cpp
+++ b/tests/failure/restored_test.cpp
@@ -155,7 +155,7 @@
   REQUIRE(this->allTake(Entries, "key-6"));
   // For one of them to have waited for operators, and to note in the directory
   // that it has.
-  std::this_thread::sleep_for(FeedCache::LapseTime + milliseconds(1500));
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout + milliseconds(1500));
   this->killAll();
   this->startAll();
   CHECK(eventually([&] { return this->call("n1", "key-6") == 200; },
--- a/tests/property/domain_plan_property.cpp
+++ b/tests/property/domain_plan_property.cpp
@@ -116,7 +116,9 @@
     return nullptr;
   }
 
-  VmLife lifeOf(const WorldVm &Row) const { return {Row.Id, WallMs(Row.Life)}; }
+  VmIncarnation lifeOf(const WorldVm &Row) const {
+    return {Row.Id, WallMs(Row.Life)};
+  }
 
   /// Starts a VM again under its id, at times behind a cut from the registry;
   /// the owner may have learned of that already.
@@ -310,7 +312,7 @@
   TargetRef listed(const WorldVm &Row) const {
     auto Info = std::make_shared<TargetInfo>();
     Info->Id = Row.Id;
-    Info->Born = WallMs(Row.Life);
+    Info->StartedAt = WallMs(Row.Life);
     Info->Domain = DomainId("d");
     Info->Group = Row.Group;
     Info->Staged = {"large", "small"};
@@ -366,7 +368,7 @@
       bool Answers = Vm && Vm->Group && Row.Last->Group &&
                      Vm->Group->Group == Row.Last->Group->Group;
       // One that is cut off from the owner too counts as dead.
-      VmLife Life = Row.Last->life();
+      VmIncarnation Life = Row.Last->incarnation();
       View.Fates[Life] = Answers && this->lifeOf(*Vm) == Life &&
                                  !this->WronglyLost.contains(Life)
                              ? MemberFate::Alive
@@ -408,7 +410,7 @@
   std::deque<std::vector<TargetRef>> Registry;
   std::map<VmId, TargetRef> LastShown;
   std::map<VmId, GoneTarget> Gone;
-  std::set<VmLife> WronglyLost;
+  std::set<VmIncarnation> WronglyLost;
   std::vector<LateOrder> Late;
   std::set<std::pair<GroupKey, VmId>> ReadyOnce;
 };
--- a/tests/property/parsers_property.cpp
+++ b/tests/property/parsers_property.cpp
@@ -54,9 +54,9 @@
   std::string Whole = readSource("examples/local/burnaby-1.yaml");
   REQUIRE(!Whole.empty());
   CHECK(rc::check([&] {
-    Mistakes Found;
+    ValidationErrors Found;
     Settings Result = parseSettings("f", damaged(Whole), Found);
-    for (const Mistake &Row : Found.Rows) {
+    for (const ValidationError &Row : Found.Errors) {
       RC_ASSERT(Row.Line >= 1);
       RC_ASSERT(!Row.Field.empty() && !Row.Expected.empty());
     }
@@ -67,11 +67,11 @@
 
 TEST_CASE("objects: any damage: objects or mistakes", "[property]") {
   std::string Whole = readSource("examples/local/objects.yaml");
-  Mistakes None;
+  ValidationErrors None;
   REQUIRE(parseObjects("f", Whole, None).size() == 7);
   REQUIRE(None.empty());
   CHECK(rc::check([&] {
-    Mistakes Found;
+    ValidationErrors Found;
     std::vector<Object> Rows = parseObjects("f", damaged(Whole), Found);
     if (!Found.empty())
       RC_ASSERT(!Found.text().empty());
@@ -86,7 +86,7 @@
   Asked.request = "r";
   Asked.workspace = "w";
   Asked.body.assign(100, 7);
-  std::string Whole = packFrame(frameOf(5, std::move(Asked)));
+  std::string Whole = packFrame(makeFrame(5, std::move(Asked)));
   CHECK(rc::check([&] {
     auto Frame = unpackFrame(damaged(Whole));
     if (!Frame.ok()) {
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("settings: a file full of mistakes: all named in one go", "[table]") {
-  Mistakes Found;
+  ValidationErrors Found;
   parseSettings("bad.yaml",
                 "node: n1\nhttp: localhost\nplatform: 1.2.3.4:99999\n"
                 "peer_listen: 127.0.0.1:1\nmax_streams: many\nspeed: 9\n"
--- a/tests/property/policy_property.cpp
+++ b/tests/property/policy_property.cpp
@@ -188,7 +188,7 @@
     if (Next.Choice == RetryChoice::Again)
       RC_ASSERT(!Ran || Facts.Repeatable);
     if (Next.Choice == RetryChoice::GiveUp && Ran)
-      RC_ASSERT(answerFor(Next.Kind).RequestRan != Ran::No);
+      RC_ASSERT(responseFor(Next.Kind).RequestRan != Ran::No);
   }));
 }
 
--- a/tests/standins/replica.h
+++ b/tests/standins/replica.h
@@ -128,7 +128,7 @@
     Out.set("state", std::string("ready"));
     Out.set("cold_left_ms", 0);
     Out.set("sequence", this->Sequence);
-    Out.set("born", this->Born);
+    Out.set("born", this->StartedAt);
     Poco::JSON::Array Staged;
     Staged.add(std::string("model"));
     Out.set("staged", Staged);
@@ -207,7 +207,7 @@
   void report(Poco::Net::HTTPServerResponse &Response) {
     std::lock_guard Lock(this->Mutex);
     Poco::JSON::Object Out;
-    Out.set("born", this->Born);
+    Out.set("born", this->StartedAt);
     this->entryGroup(Out);
     reply(Response, 200, dumpJson(Out));
   }
@@ -221,7 +221,7 @@
   void restart(Poco::Net::HTTPServerResponse &Response, bool Unseen) {
     {
       std::lock_guard Lock(this->Mutex);
-      this->Born = nowMs();
+      this->StartedAt = nowMs();
       this->Sequence = 0;
       this->SeenFence = 0;
       this->Group.clear();
@@ -340,7 +340,7 @@
 
   const ReplicaSetup Given;
   std::mutex Mutex;
-  std::uint64_t Born = nowMs();
+  std::uint64_t StartedAt = nowMs();
   std::uint64_t Sequence = 0;
   std::uint64_t SeenFence = 0;
   std::string Group;
--- a/tests/unit/choice_load_test.cpp
+++ b/tests/unit/choice_load_test.cpp
@@ -182,13 +182,13 @@
                              Row->Target->DataCentre != Query.Here);
     std::size_t Group = std::stoul(Row->Target->Id.Text.substr(1));
     this->Engines[Group].Queue.push_back({Node, at(this->NowMs)});
-    this->Seen[Node].onStart(Row->Target->life(), PromptTokens,
+    this->Seen[Node].onStart(Row->Target->incarnation(), PromptTokens,
                              at(this->NowMs));
   }
 
   void work(std::size_t Group) {
     Engine &Row = this->Engines[Group];
-    VmLife Id{VmId("g" + std::to_string(Group)), {}};
+    VmIncarnation Id{VmId("g" + std::to_string(Group)), {}};
     while (!Row.Queue.empty() && Row.Running.size() < Slots) {
       Row.Running.push_back(Row.Queue.front());
       Row.Queue.pop_front();
@@ -210,7 +210,7 @@
     }
   }
 
-  void makeEvent(std::size_t Group, const VmLife &Id, Job &Row) {
+  void makeEvent(std::size_t Group, const VmIncarnation &Id, Job &Row) {
     VitalsTable &Vitals = this->Seen[Row.Node];
     TimePoint Now = at(this->NowMs);
     if (Row.Made++ == 0) {
--- a/tests/unit/config_follow_test.cpp
+++ b/tests/unit/config_follow_test.cpp
@@ -28,7 +28,7 @@
 
 constexpr Millis ShortBound(300);
 /// Longer than operators usually take to write again.
-constexpr Millis LongBound = FeedCache::LapseTime + Millis(500);
+constexpr Millis LongBound = FeedCache::RecoveryTimeout + Millis(500);
 
 /// A value is its version.
 struct VersionDecoder {
@@ -50,19 +50,19 @@
   static KeyedPage pageOf(std::uint64_t Version, std::uint64_t Next,
                           std::uint64_t Era) {
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(Next, Era);
     Page.Records = {{"config", std::to_string(Version)}};
-    Page.Versions.Shown = ValueVersion(Version);
+    Page.Versions.Current = ValueVersion(Version);
     Page.ProvenAt = SystemClock{}.now();
     return Page;
   }
   void show(std::uint64_t Version, std::uint64_t Next, std::uint64_t Era) {
-    this->cache().take(pageOf(Version, Next, Era), SystemClock{}.now());
+    this->cache().merge(pageOf(Version, Next, Era), SystemClock{}.now());
     this->Follower.step();
   }
-  void hear(const EraMarks &Told) {
-    this->cache().hear(Told, SystemClock{}.now());
+  void mergeMarks(const EraMarks &Told) {
+    this->cache().mergeMarks(Told, SystemClock{}.now());
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Config); }
   /// Zero where none is.
@@ -71,7 +71,7 @@
         [](const RoutingConfigRef &Row) { return Row ? Row->Version : 0; });
   }
   bool mayUseKeys() {
-    return this->Board.ConfigFresh.holds(SystemClock{}.now());
+    return this->Board.ConfigLease.holds(SystemClock{}.now());
   }
   void waitOutProof() { std::this_thread::sleep_for(ShortBound); }
 
@@ -108,7 +108,7 @@
   this->waitOutProof();
   this->show(19, 6, 1);
   CHECK_FALSE(this->mayUseKeys());
-  std::this_thread::sleep_for(FeedCache::LapseTime);
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout);
   this->show(19, 6, 1);
   CHECK(this->mayUseKeys());
   // Written again as it was, after another restore that had lost it.
@@ -147,10 +147,10 @@
   this->show(19, 7, 0);
   std::this_thread::sleep_for(LongBound);
   this->show(6, 3, 1);
-  std::this_thread::sleep_for(FeedCache::LapseTime);
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout);
   this->show(6, 3, 1);
   CHECK_FALSE(this->mayUseKeys());
-  std::this_thread::sleep_for(LongBound - FeedCache::LapseTime);
+  std::this_thread::sleep_for(LongBound - FeedCache::RecoveryTimeout);
   this->show(6, 3, 1);
   CHECK(this->mayUseKeys());
   CHECK(this->inForce() == 19);
@@ -166,9 +166,9 @@
     "its keys are proven at once",
     "[unit]") {
   KeyedPage Told = pageOf(22, 5, 1);
-  Told.Versions.Before = ValueVersion(19);
+  Told.Versions.Previous = ValueVersion(19);
   Told.Versions.Settled = true;
-  this->cache().take(Told, SystemClock{}.now());
+  this->cache().merge(Told, SystemClock{}.now());
   this->Follower.step();
   CHECK(this->mayUseKeys());
 }
@@ -181,10 +181,10 @@
     "[unit]") {
   this->show(19, 6, 2);
   FeedCache Other;
-  Other.take(pageOf(18, 7, 1), SystemClock{}.now());
-  Other.take(pageOf(19, 8, 1), SystemClock{}.now());
-  Other.take(pageOf(19, 6, 2), SystemClock{}.now());
-  this->cache().hear(Other.marks(), SystemClock{}.now());
+  Other.merge(pageOf(18, 7, 1), SystemClock{}.now());
+  Other.merge(pageOf(19, 8, 1), SystemClock{}.now());
+  Other.merge(pageOf(19, 6, 2), SystemClock{}.now());
+  this->cache().mergeMarks(Other.marks(), SystemClock{}.now());
   this->Follower.step();
   CHECK_FALSE(this->mayUseKeys());
 }
@@ -212,7 +212,7 @@
   this->show(19, 7, 0);
   this->waitOutProof();
   this->show(19, 6, 1);
-  this->hear({StoreEra(1), {ValueVersion(22), ValueVersion(19), true}});
+  this->mergeMarks({StoreEra(1), {ValueVersion(22), ValueVersion(19), true}});
   this->Follower.step();
   CHECK_FALSE(this->mayUseKeys());
   this->show(22, 7, 1);
@@ -239,7 +239,7 @@
   this->show(6, 3, 1);
   REQUIRE(this->inForce() == 6);
   // Another node asks, which knew version 19 before the restore.
-  this->hear({StoreEra(1), {ValueVersion(6), ValueVersion(19)}});
+  this->mergeMarks({StoreEra(1), {ValueVersion(6), ValueVersion(19)}});
   this->Follower.step();
   CHECK(this->inForce() == 0);
   CHECK_FALSE(this->mayUseKeys());
@@ -255,12 +255,12 @@
                  "it knows was in force before",
                  "[unit]") {
   this->show(6, 3, 1);
-  this->hear({StoreEra(0), {ValueVersion(19), ValueVersion()}});
+  this->mergeMarks({StoreEra(0), {ValueVersion(19), ValueVersion()}});
   this->Follower.step();
   CHECK(this->inForce() == 0);
   // One that is ahead of this node says nothing of this node's era.
   this->show(22, 5, 1);
-  this->hear({StoreEra(2), {ValueVersion(22), ValueVersion(90)}});
+  this->mergeMarks({StoreEra(2), {ValueVersion(22), ValueVersion(90)}});
   this->Follower.step();
   CHECK(this->inForce() == 22);
 }
@@ -270,7 +270,7 @@
                  "what is in force stays",
                  "[unit]") {
   this->show(19, 7, 0);
-  this->hear({StoreEra(0), {ValueVersion(22), ValueVersion()}});
+  this->mergeMarks({StoreEra(0), {ValueVersion(22), ValueVersion()}});
   this->Follower.step();
   CHECK(this->inForce() == 19);
   CHECK(this->mayUseKeys());
--- a/tests/unit/crash_blame_test.cpp
+++ b/tests/unit/crash_blame_test.cpp
@@ -23,11 +23,11 @@
 /// From when on innocent contents are numbered that come once.
 constexpr std::uint64_t Once = 1000;
 
-VmLife target(int Number) {
+VmIncarnation target(int Number) {
   return {VmId("t-" + std::to_string(Number)), WallMs(1)};
 }
 
-TimePoint neverSince(const VmLife &) { return {}; }
+TimePoint neverSince(const VmIncarnation &) { return {}; }
 
 } // namespace
 
@@ -71,7 +71,7 @@
                  "[unit]") {
   for (int I = 1; I <= 5; ++I)
     this->Book.noteLost(Poison, target(I), at(I));
-  this->Book.settle([](const VmLife &) { return at(200); }, at(400));
+  this->Book.settle([](const VmIncarnation &) { return at(200); }, at(400));
   CHECK(this->judge(Poison, 400) == Verdict::Serve);
   CHECK(this->Book.whole().empty());
 }
@@ -289,7 +289,7 @@
   int pick(int Below) {
     return std::uniform_int_distribution<int>(0, Below - 1)(this->Random);
   }
-  static VmLife life(int Target, int Life) {
+  static VmIncarnation incarnation(int Target, int Life) {
     return {VmId(std::to_string(Target)),
             WallMs(static_cast<std::uint64_t>(Life) + 1)};
   }
@@ -334,7 +334,8 @@
                           static_cast<std::ptrdiff_t>(I--));
       if (Row.Content == Poison) {
         this->Nodes[static_cast<std::size_t>(Row.Node)].noteLost(
-            Poison, life(Row.Target, this->Lives[Row.Target]), at(this->Ms));
+            Poison, incarnation(Row.Target, this->Lives[Row.Target]),
+            at(this->Ms));
         if (++this->PoisonEnds == 3)
           this->ThirdAt = this->Ms;
         this->endOne(Row.Target);
@@ -355,7 +356,7 @@
     });
     for (const Run &Row : Lost)
       this->Nodes[static_cast<std::size_t>(Row.Node)].noteLost(
-          Row.Content, life(Target, this->Lives[Target]), at(this->Ms));
+          Row.Content, incarnation(Target, this->Lives[Target]), at(this->Ms));
     ++this->Lives[Target];
     this->BackAt[Target] = at(this->Ms + 3000);
     for (const Run &Row : Lost)
--- a/tests/unit/domain_convert_test.cpp
+++ b/tests/unit/domain_convert_test.cpp
@@ -67,8 +67,8 @@
     Spec.Engine->StepMillisPerRequest = 0.0967;
     Spec.Engine->ReadTokensPerSecond = 56100;
     this->Config.Services[Spec.Id] = Spec;
-    for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
-         ++Part)
+    for (std::uint64_t Part = 0;
+         Part < this->Board.Config.Entry->PartitionCount; ++Part)
       this->Mine.Parts.push_back(Part);
     for (int I = 0; I < Domains * VmsPerDomain; ++I)
       this->addVm(I / VmsPerDomain);
--- a/tests/unit/domain_owner_test.cpp
+++ b/tests/unit/domain_owner_test.cpp
@@ -73,7 +73,7 @@
     Config->Services[Spec.Id] = Spec;
     this->Board.Routing.write([&](RoutingConfigRef &Row) { Row = Config; });
     this->Board.Nodes.write([&](NodeTable &Rows) {
-      Rows[this->Board.Config.Node] = this->Board.self();
+      Rows[this->Board.Config.Node] = this->Board.nodeInfo();
     });
     for (std::uint64_t Part = 0; Part < AllParts; ++Part)
       this->Shares.Dealt.Parts.push_back(Part);
@@ -92,7 +92,7 @@
         Rows.Targets[Row->Id] = Row;
       }
     });
-    this->Board.RegistryFresh.renew(SystemClock{}.now(), Millis(60000));
+    this->Board.RegistryLease.renew(SystemClock{}.now(), Millis(60000));
   }
   void deal(std::uint64_t Era, std::uint64_t Generation) {
     this->Shares.Dealt.Era = StoreEra(Era);
@@ -106,7 +106,7 @@
     for (TimePoint End = SystemClock{}.now() + Time;
          SystemClock{}.now() < End && this->Targets.Taken == Before;) {
       if (!NothingRead)
-        this->Board.RegistryProven.raise(SystemClock{}.now());
+        this->Board.RegistryProvenAt.raise(SystemClock{}.now());
       this->Owner.renew();
       this->Owner.step();
       std::this_thread::sleep_for(Millis(50));
@@ -158,9 +158,9 @@
   REQUIRE(this->plan(Millis(5000)));
   REQUIRE(this->Shares.Heard == 12);
   KeyedPage Page;
-  Page.Whole = true;
+  Page.IsSnapshot = true;
   Page.Next = atOffset(3, 1);
-  this->Board.feed(FeedKind::Registry).take(Page, SystemClock{}.now());
+  this->Board.feed(FeedKind::Registry).merge(Page, SystemClock{}.now());
   this->deal(1, 10);
   CHECK(this->Shares.Heard == 0);
   this->deal(1, 11);
@@ -185,7 +185,7 @@
                  "nothing is ordered until then",
                  "[unit]") {
   this->list(0);
-  this->Board.RegistryProven.raise(SystemClock{}.now());
+  this->Board.RegistryProvenAt.raise(SystemClock{}.now());
   this->deal(0, 12);
   CHECK_FALSE(this->plan(Millis(3000), true));
   CHECK(this->plan(Millis(5000)));
--- a/tests/unit/domain_views_test.cpp
+++ b/tests/unit/domain_views_test.cpp
@@ -24,8 +24,8 @@
       Spec.Engine->Models.push_back(Model);
     }
     this->Config.Services[Spec.Id] = Spec;
-    for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
-         ++Part)
+    for (std::uint64_t Part = 0;
+         Part < this->Board.Config.Entry->PartitionCount; ++Part)
       this->Mine.Parts.push_back(Part);
   }
   static Settings entrySettings() {
--- a/tests/unit/load_budget_test.cpp
+++ b/tests/unit/load_budget_test.cpp
@@ -20,7 +20,7 @@
     this->Engine.Models = {Model};
     this->Engine.LoadsPerSecond = 4;
     this->Engine.LoadsAtOnce = 6;
-    this->Board.Share = 0.5;
+    this->Board.PartitionShare = 0.5;
   }
   static Settings entrySettings() {
     Settings Given;
@@ -52,7 +52,7 @@
   CHECK(this->Budget.allowed(6, this->Engine, at(400)) == 0);
   CHECK(this->Budget.allowed(6, this->Engine, at(5100)) == 6);
   // However small its part: as many as run at full speed.
-  this->Board.Share = 0.01;
+  this->Board.PartitionShare = 0.01;
   CHECK(this->Budget.allowed(9, this->Engine, at(5400)) == 6);
   this->load(5400);
   CHECK(this->Budget.allowed(9, this->Engine, at(5500)) == 5);
@@ -66,7 +66,7 @@
   EntryBoard First(Given, IncarnationId("i"));
   LoadBudget Free(First);
   CHECK(Free.allowed(0, this->Engine, at(0)) == FreeLoads);
-  First.Requested = true;
+  First.RequestSeen = true;
   CHECK(Free.allowed(0, this->Engine, at(0)) == 0);
 }
 
--- a/tests/unit/member_inquiry_test.cpp
+++ b/tests/unit/member_inquiry_test.cpp
@@ -104,7 +104,7 @@
                  "taken for dead at the first question, its new life not",
                  "[unit]") {
   auto Head = std::make_shared<TargetInfo>(*this->View.Targets[0]);
-  Head->Born = WallMs(100);
+  Head->StartedAt = WallMs(100);
   Head->Group =
       Membership{{groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Open};
   this->View.Targets[0] = Head;
@@ -112,11 +112,11 @@
   this->Control.Ended.insert(Head->Id);
   this->Members.findLost(this->View);
   REQUIRE(this->View.Lost.empty());
-  this->Board.Vitals.write([&](VitalsTable &Rows) {
-    Rows.suspect(Head->life(), at(0), Millis(3000));
+  this->Board.TargetStats.write([&](VitalsTable &Rows) {
+    Rows.suspect(Head->incarnation(), at(0), Millis(3000));
   });
   this->Members.findLost(this->View);
-  CHECK(this->View.Lost == std::set<VmLife>{Head->life()});
+  CHECK(this->View.Lost == std::set<VmIncarnation>{Head->incarnation()});
   CHECK_FALSE(this->View.Lost.contains({Head->Id, WallMs(200)}));
 }
 
--- a/tests/unit/news_route_test.cpp
+++ b/tests/unit/news_route_test.cpp
@@ -23,9 +23,9 @@
 constexpr Millis RoundTime{250};
 constexpr Millis SearchTime{900};
 constexpr Millis ReadEvery{1200};
-/// Of 4 s, as mostAge() has it.
+/// Of 4 s, as maxAge() has it.
 constexpr Millis MostAge{3400};
-/// Half of it, as mayTell() has it.
+/// Half of it, as canServeFeed() has it.
 constexpr Millis OwnAge{2000};
 constexpr int StepMs = 50;
 
@@ -83,7 +83,7 @@
     Backoff Waits;
     ProbePace Pace{};
     TimePoint ProvenAt;
-    TimePoint OwnProof;
+    TimePoint OwnProvenAt;
     TimePoint HeardAt;
     TimePoint ReadDue;
     int RoundMs = 0;
@@ -106,7 +106,7 @@
   bool isCurrent(const NodeId &Of) {
     const Row &Peer = this->Rows[Of];
     TimePoint Now = at(this->NowMs);
-    return (Peer.Relayed || Now - Peer.OwnProof < OwnAge) &&
+    return (Peer.Relayed || Now - Peer.OwnProvenAt < OwnAge) &&
            Now - Peer.ProvenAt <= MostAge;
   }
 
@@ -124,7 +124,7 @@
       return;
     }
     Me.Waits.reset();
-    Me.ProvenAt = Me.OwnProof = Now;
+    Me.ProvenAt = Me.OwnProvenAt = Now;
     Me.ReadDue = Now + ReadEvery;
   }
 
--- a/tests/unit/news_test.cpp
+++ b/tests/unit/news_test.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 KeyedPage page(std::uint64_t Next, std::vector<KeyedRecord> Records,
-               bool Whole = false) {
+               bool IsSnapshot = false) {
   KeyedPage Page;
   Page.Next = atOffset(Next);
   Page.Records = std::move(Records);
-  Page.Whole = Whole;
+  Page.IsSnapshot = IsSnapshot;
   Page.ProvenAt = at(static_cast<int>(Next));
   return Page;
 }
@@ -51,9 +51,9 @@
 /// A cache that took a whole page, and then changes and a drop.
 struct FeedFixture {
   FeedFixture() {
-    this->Cache.take(page(10, {{"a", "1"}, {"b", "1"}}, true), at(0));
-    this->Cache.take(page(12, {{"b", "2"}, {"c", "1"}}), at(0));
-    this->Cache.take(page(13, {{"a", std::nullopt}}), at(0));
+    this->Cache.merge(page(10, {{"a", "1"}, {"b", "1"}}, true), at(0));
+    this->Cache.merge(page(12, {{"b", "2"}, {"c", "1"}}), at(0));
+    this->Cache.merge(page(13, {{"a", std::nullopt}}), at(0));
   }
   FeedCache Cache;
 };
@@ -63,19 +63,20 @@
   CHECK(keysOf(this->Cache.since(atOffset(10))) == Keys{"a-", "b=2", "c=1"});
   CHECK(keysOf(this->Cache.since(atOffset(12))) == Keys{"a-"});
   CHECK(keysOf(this->Cache.since(atOffset(13))).empty());
-  CHECK(keysOf(this->Cache.whole()) == Keys{"b=2", "c=1"});
+  CHECK(keysOf(this->Cache.snapshot()) == Keys{"b=2", "c=1"});
 }
 
 /// The cache's feed after the store came back from an older copy of itself.
 struct RestoredFeedFixture : FeedFixture {
   static KeyedPage pageOfEra(std::uint64_t Next,
-                             std::vector<KeyedRecord> Records, bool Whole) {
-    KeyedPage Page = page(Next, std::move(Records), Whole);
+                             std::vector<KeyedRecord> Records,
+                             bool IsSnapshot) {
+    KeyedPage Page = page(Next, std::move(Records), IsSnapshot);
     Page.Next = atOffset(Next, 1);
     return Page;
   }
   RestoredFeedFixture() {
-    this->Cache.take(
+    this->Cache.merge(
         pageOfEra(11, {{"b", "1", atOffset(9, 1)}, {"d", "1", atOffset(11, 1)}},
                   true),
         at(20));
@@ -87,8 +88,8 @@
                  "it holds is taken",
                  "[unit]") {
   CHECK(this->Cache.next() == atOffset(11, 1));
-  CHECK(keysOf(this->Cache.whole()) == Keys{"b=1", "d=1"});
-  this->Cache.take(pageOfEra(12, {{"b", "3"}}, false), at(30));
+  CHECK(keysOf(this->Cache.snapshot()) == Keys{"b=1", "d=1"});
+  this->Cache.merge(pageOfEra(12, {{"b", "3"}}, false), at(30));
   CHECK(keysOf(this->Cache.since(atOffset(11, 1))) == Keys{"b=3"});
 }
 
@@ -98,12 +99,13 @@
   // The offset stands for other records now.
   for (std::uint64_t From : {5, 11, 13, 90}) {
     KeyedPage Page = this->Cache.since(atOffset(From));
-    CHECK(Page.Whole);
+    CHECK(Page.IsSnapshot);
     CHECK(keysOf(Page) == Keys{"b=1", "d=1"});
   }
   // Who has read the copy itself is told what changed since, also where that
   // is what this node knew before.
-  this->Cache.take(pageOfEra(12, {{"b", "2", atOffset(12, 1)}}, false), at(30));
+  this->Cache.merge(pageOfEra(12, {{"b", "2", atOffset(12, 1)}}, false),
+                    at(30));
   CHECK(keysOf(this->Cache.since(atOffset(11, 1))) == Keys{"b=2"});
 }
 
@@ -112,9 +114,9 @@
                  "news to who knows the copy's",
                  "[unit]") {
   FeedCache Late;
-  Late.take(page(13, {{"b", "2"}}, true), at(0));
+  Late.merge(page(13, {{"b", "2"}}, true), at(0));
   // It reads the store after the value was written again.
-  Late.take(pageOfEra(12, {{"b", "2", atOffset(12, 1)}}, true), at(30));
+  Late.merge(pageOfEra(12, {{"b", "2", atOffset(12, 1)}}, true), at(30));
   CHECK(keysOf(Late.since(atOffset(11, 1))) == Keys{"b=2"});
 }
 
@@ -124,12 +126,12 @@
                  "[unit]") {
   KeyedPage Earlier = page(99, {{"z", "1"}}, true);
   Earlier.ProvenAt = at(500);
-  CHECK_FALSE(this->Cache.take(Earlier, at(510)));
+  CHECK_FALSE(this->Cache.merge(Earlier, at(510)));
   KeyedPage Part = page(99, {{"z", "1"}});
   Part.Next = atOffset(2, 2);
-  CHECK_FALSE(this->Cache.take(Part, at(510)));
+  CHECK_FALSE(this->Cache.merge(Part, at(510)));
   CHECK(this->Cache.next() == atOffset(11, 1));
-  CHECK(keysOf(this->Cache.whole()) == Keys{"b=1", "d=1"});
+  CHECK(keysOf(this->Cache.snapshot()) == Keys{"b=1", "d=1"});
 }
 
 TEST_CASE_METHOD(RestoredFeedFixture,
@@ -139,35 +141,35 @@
   FeedPacker Packer;
   FeedCache Other;
   for (std::size_t Size : {10U, 10000U}) {
-    this->Cache.take(pageOfEra(12 + Size,
-                               {{"c", noise(Size), atOffset(12 + Size, 1)}},
-                               false),
-                     at(100));
+    this->Cache.merge(pageOfEra(12 + Size,
+                                {{"c", noise(Size), atOffset(12 + Size, 1)}},
+                                false),
+                      at(100));
     StorePosition From = Other.next().value_or(atOffset(0));
     auto News = Packer.pack(this->Cache.since(From), From, at(200));
-    Other.take(*readFeed(*News, at(150), at(250)), at(250));
+    Other.merge(*unpackFeed(*News, at(150), at(250)), at(250));
     CHECK(Other.next() == this->Cache.next());
-    CHECK(keysOf(Other.whole()) == keysOf(this->Cache.whole()));
+    CHECK(keysOf(Other.snapshot()) == keysOf(this->Cache.snapshot()));
   }
   // A later question of another node is answered as the first node would.
   CHECK(keysOf(Other.since(atOffset(22, 1))) ==
         keysOf(this->Cache.since(atOffset(22, 1))));
-  CHECK(Other.since(atOffset(22)).Whole);
+  CHECK(Other.since(atOffset(22)).IsSnapshot);
 }
 
 TEST_CASE_METHOD(FeedFixture, "feed cache: a page from behind: never goes back",
                  "[unit]") {
   KeyedPage Behind = page(11, {{"b", "old"}});
   Behind.ProvenAt = at(50);
-  this->Cache.take(Behind, at(60));
+  this->Cache.merge(Behind, at(60));
   CHECK(this->Cache.next() == atOffset(13));
-  CHECK(keysOf(this->Cache.whole()) == Keys{"b=2", "c=1"});
+  CHECK(keysOf(this->Cache.snapshot()) == Keys{"b=2", "c=1"});
 }
 
 TEST_CASE_METHOD(FeedFixture,
                  "feed cache: a whole page: what it lacks is dropped",
                  "[unit]") {
-  this->Cache.take(page(20, {{"c", "3"}}, true), at(0));
+  this->Cache.merge(page(20, {{"c", "3"}}, true), at(0));
   CHECK(keysOf(this->Cache.since(atOffset(13))) == Keys{"b-", "c=3"});
 }
 
@@ -175,24 +177,26 @@
     FeedFixture,
     "feed cache: a whole page repeats what is known: that is no news",
     "[unit]") {
-  this->Cache.take(page(20, {{"b", "2"}, {"c", "1"}, {"d", "1"}}, true), at(0));
+  this->Cache.merge(page(20, {{"b", "2"}, {"c", "1"}, {"d", "1"}}, true),
+                    at(0));
   CHECK(keysOf(this->Cache.since(atOffset(13))) == Keys{"d=1"});
   CHECK(keysOf(this->Cache.since(atOffset(10))) ==
         Keys{"a-", "b=2", "c=1", "d=1"});
   // Changed and back again within what was not seen: the same to all.
-  this->Cache.take(page(22, {{"c", "9"}}), at(0));
-  this->Cache.take(page(30, {{"b", "2"}, {"c", "1"}, {"d", "1"}}, true), at(0));
+  this->Cache.merge(page(22, {{"c", "9"}}), at(0));
+  this->Cache.merge(page(30, {{"b", "2"}, {"c", "1"}, {"d", "1"}}, true),
+                    at(0));
   CHECK(keysOf(this->Cache.since(atOffset(20))) == Keys{"c=1"});
 }
 
 TEST_CASE_METHOD(FeedFixture,
                  "feed cache: a drop was forgotten: the whole is given",
                  "[unit]") {
-  this->Cache.take(page(14, {{"d", "1"}}), at(120000));
+  this->Cache.merge(page(14, {{"d", "1"}}), at(120000));
   KeyedPage Page = this->Cache.since(atOffset(12));
-  CHECK(Page.Whole);
+  CHECK(Page.IsSnapshot);
   CHECK(keysOf(Page) == Keys{"b=2", "c=1", "d=1"});
-  CHECK_FALSE(this->Cache.since(atOffset(13)).Whole);
+  CHECK_FALSE(this->Cache.since(atOffset(13)).IsSnapshot);
 }
 
 TEST_CASE_METHOD(FeedFixture,
@@ -201,7 +205,7 @@
   TimePoint Proven = this->Cache.provenAt();
   KeyedPage Behind = page(11, {});
   Behind.ProvenAt = at(5000);
-  CHECK_FALSE(this->Cache.take(Behind, at(5010)));
+  CHECK_FALSE(this->Cache.merge(Behind, at(5010)));
   CHECK(this->Cache.provenAt() == Proven);
 }
 
@@ -212,17 +216,17 @@
     "[unit]") {
   KeyedPage Own = page(13, {});
   Own.ProvenAt = at(8800);
-  this->Cache.take(Own, at(9900));
+  this->Cache.merge(Own, at(9900));
   // A neighbour had lost the store until 10,000.
   KeyedPage Told = page(14, {{"b", std::nullopt}});
   Told.ProvenAt = at(10000);
-  Told.HoldUntil = at(10000) + FeedCache::LapseTime;
-  this->Cache.take(Told, at(10100));
-  CHECK(this->Cache.since(atOffset(13)).HoldUntil == TimePoint());
+  Told.RetainUntil = at(10000) + FeedCache::RecoveryTimeout;
+  this->Cache.merge(Told, at(10100));
+  CHECK(this->Cache.since(atOffset(13)).RetainUntil == TimePoint());
   // Without such a proof, lapsed entries may be back until then.
   FeedFixture Other;
-  Other.Cache.take(Told, at(10100));
-  CHECK(Other.Cache.since(atOffset(13)).HoldUntil == Told.HoldUntil);
+  Other.Cache.merge(Told, at(10100));
+  CHECK(Other.Cache.since(atOffset(13)).RetainUntil == Told.RetainUntil);
 }
 
 // A reader restarts, and a node that reads through it knows the feed from
@@ -233,26 +237,26 @@
           "what went before that",
           "[unit]") {
   FeedCache Behind;
-  Behind.take(page(10, {{"a", "1"}, {"b", "1"}}, true), at(0));
+  Behind.merge(page(10, {{"a", "1"}, {"b", "1"}}, true), at(0));
   FeedCache Started;
-  Started.take(page(12, {{"b", "1"}}, true), at(0));
-  Behind.take(Started.since(atOffset(10)), at(100));
-  CHECK(keysOf(Behind.whole()) == Keys{"b=1"});
-  CHECK_FALSE(Started.since(atOffset(12)).Whole);
+  Started.merge(page(12, {{"b", "1"}}, true), at(0));
+  Behind.merge(Started.since(atOffset(10)), at(100));
+  CHECK(keysOf(Behind.snapshot()) == Keys{"b=1"});
+  CHECK_FALSE(Started.since(atOffset(12)).IsSnapshot);
 }
 
 TEST_CASE("feed cache: more changed than goes into an answer: it comes in "
           "parts, and none of them proves anything of the rest",
           "[unit]") {
   FeedCache Reader;
-  Reader.take(page(1, {{"k0", "1"}}, true), at(0));
+  Reader.merge(page(1, {{"k0", "1"}}, true), at(0));
   KeyedPage Changes = page(101, {});
   for (std::uint64_t I = 1; I <= 100; ++I)
     Changes.Records.push_back(
         {"k" + std::to_string(I), std::string(100, 'v'), atOffset(I + 1)});
-  Reader.take(Changes, at(10));
+  Reader.merge(Changes, at(10));
   FeedCache Behind;
-  Behind.take(page(1, {{"k0", "1"}}, true), at(0));
+  Behind.merge(page(1, {{"k0", "1"}}, true), at(0));
   TimePoint Proven = Behind.provenAt();
   unsigned Parts = 0;
   for (bool More = true; More; ++Parts) {
@@ -262,12 +266,12 @@
       CHECK(Part.Records.size() <= 10);
       Part.ProvenAt = TimePoint();
     }
-    REQUIRE(Behind.take(Part, at(20)));
+    REQUIRE(Behind.merge(Part, at(20)));
     CHECK((Behind.provenAt() == Proven) == More);
   }
   CHECK(Parts == 12);
   CHECK(Behind.next() == Reader.next());
-  CHECK(keysOf(Behind.whole()) == keysOf(Reader.whole()));
+  CHECK(keysOf(Behind.snapshot()) == keysOf(Reader.snapshot()));
   // What it knows it passes on in parts as well.
   CHECK(Behind.since(atOffset(1), 1000).Partial);
 }
@@ -275,11 +279,11 @@
 TEST_CASE("feed cache: one record is larger than an answer: it comes alone",
           "[unit]") {
   FeedCache Reader;
-  Reader.take(page(1, {}, true), at(0));
+  Reader.merge(page(1, {}, true), at(0));
   KeyedPage Changes = page(3, {});
   Changes.Records = {{"large", std::string(5000, 'v'), atOffset(2)},
                      {"small", std::string("v"), atOffset(3)}};
-  Reader.take(Changes, at(10));
+  Reader.merge(Changes, at(10));
   KeyedPage Part = Reader.since(atOffset(1), 1000);
   CHECK(Part.Partial);
   CHECK(Part.Next == atOffset(2));
@@ -288,23 +292,23 @@
 
 TEST_CASE("feed cache: nothing known: changes alone are not taken", "[unit]") {
   FeedCache Cache;
-  CHECK_FALSE(Cache.take(page(5, {{"a", "1"}}), at(0)));
+  CHECK_FALSE(Cache.merge(page(5, {{"a", "1"}}), at(0)));
   CHECK_FALSE(Cache.next());
 }
 
 TEST_CASE("news: a page sent on: never looks newer than it is", "[unit]") {
   KeyedPage Page = page(7, {{"a", "1"}, {"b", std::nullopt}});
   Page.ProvenAt = at(100);
-  Page.HoldUntil = at(900);
+  Page.RetainUntil = at(900);
   // The other process' clock is 5 s ahead; the question left at 5,350 there.
   FeedPacker Packer;
   KeyedPage Got =
-      *readFeed(*Packer.pack(Page, atOffset(), at(400)), at(5350), at(5410));
+      *unpackFeed(*Packer.pack(Page, atOffset(), at(400)), at(5350), at(5410));
   CHECK(Got.Next == Page.Next);
   CHECK(keysOf(Got) == Keys{"a=1", "b-"});
   CHECK(Got.ProvenAt <= at(5100));
   CHECK(Got.ProvenAt >= at(5000));
-  CHECK(Got.HoldUntil >= at(5900));
+  CHECK(Got.RetainUntil >= at(5900));
 }
 
 TEST_CASE("news: an announcement: read back, damage refused", "[unit]") {
@@ -312,11 +316,11 @@
                 7000};
   CrashRows Blamed;
   Blamed[ContentHash(7)].Ends = {TargetHash(1), TargetHash(2), TargetHash(3)};
-  std::string Bytes = packNode({Node, Blamed});
-  CHECK(unpackNode(Bytes)->Node.Port == 7000);
-  CHECK(unpackNode(Bytes)->Blamed == Blamed);
-  CHECK_FALSE(unpackNode(Bytes.substr(0, Bytes.size() / 2)).ok());
-  CHECK_FALSE(unpackNode("").ok());
+  std::string Bytes = packAnnouncement({Node, Blamed});
+  CHECK(unpackAnnouncement(Bytes)->Node.Port == 7000);
+  CHECK(unpackAnnouncement(Bytes)->Blamed == Blamed);
+  CHECK_FALSE(unpackAnnouncement(Bytes.substr(0, Bytes.size() / 2)).ok());
+  CHECK_FALSE(unpackAnnouncement("").ok());
 }
 
 /// The book of a node to which others tell what they see of one head.
@@ -366,7 +370,7 @@
 TEST_CASE("vitals: a target stands still elsewhere: known here without a send",
           "[unit]") {
   VitalsTable Vitals;
-  VmLife Head{VmId("head"), {}};
+  VmIncarnation Head{VmId("head"), {}};
   TargetLoad Load;
   Load.InFlight = Load.Answering = 4;
   Load.Silent = Millis(600);
@@ -386,7 +390,7 @@
           "move",
           "[unit]") {
   VitalsTable Vitals;
-  VmLife Head{VmId("head"), {}};
+  VmIncarnation Head{VmId("head"), {}};
   TargetHash Hash(hashText("head"));
   TargetLoad Load;
   // Whoever had answers under way there has left; it would look idle.
@@ -414,7 +418,7 @@
 
 TEST_CASE("vitals: doubts are told to others: only this node's own", "[unit]") {
   VitalsTable Vitals;
-  VmLife Head{VmId("head"), {}};
+  VmIncarnation Head{VmId("head"), {}};
   TargetLoad Load;
   Load.Suspect = Millis(3000);
   Vitals.takeNews({{hashOf(Head), Load}}, at(0));
@@ -511,14 +515,14 @@
   FeedPacker Packer;
   auto News = Packer.pack(Large, atOffset(7), at(21));
   CHECK_FALSE(News->left_out);
-  CHECK(News->deflated.size() < MostPassedBytes);
-  absl::StatusOr<KeyedPage> Got = readFeed(*News, at(30), at(31));
+  CHECK(News->deflated.size() < MaxUpdateBytes);
+  absl::StatusOr<KeyedPage> Got = unpackFeed(*News, at(30), at(31));
   REQUIRE(Got.ok());
   CHECK(keysOf(*Got) == keysOf(Large));
   // A newer version, asked for from the same offset, is deflated anew.
   KeyedPage Newer = page(21, {{"config", Value + "x"}});
-  CHECK(keysOf(*readFeed(*Packer.pack(Newer, atOffset(7), at(22)), at(30),
-                         at(31))) == keysOf(Newer));
+  CHECK(keysOf(*unpackFeed(*Packer.pack(Newer, atOffset(7), at(22)), at(30),
+                           at(31))) == keysOf(Newer));
 }
 
 TEST_CASE("news: deflated records are damaged: refused", "[unit]") {
--- a/tests/unit/node_follow_test.cpp
+++ b/tests/unit/node_follow_test.cpp
@@ -39,7 +39,7 @@
   Info.Node = NodeId(Node);
   Info.Incarnation = IncarnationId("i");
   Info.Settled = StoreEra(Settled);
-  return {Node, packNode({Info, {}})};
+  return {Node, packAnnouncement({Info, {}})};
 }
 
 } // namespace
@@ -51,10 +51,10 @@
   DirectoryFixture() : Board(settingsOf("me"), IncarnationId("i")) {
     this->Directory.Page.Records = {announcementOf("me"),
                                     announcementOf("other")};
-    this->Directory.Page.Whole = true;
+    this->Directory.Page.IsSnapshot = true;
     this->Follower.step();
     this->Directory.Page.Records.clear();
-    this->Directory.Page.Whole = false;
+    this->Directory.Page.IsSnapshot = false;
     this->Follower.step();
   }
   std::size_t known() {
@@ -72,7 +72,7 @@
                  "[unit]") {
   REQUIRE(this->known() == 2);
   this->Directory.Page.Records = {announcementOf("me")};
-  this->Directory.Page.Whole = true;
+  this->Directory.Page.IsSnapshot = true;
   this->Follower.step();
   CHECK(this->known() == 1);
 }
@@ -97,11 +97,11 @@
   // It was not read back before the restore.
   REQUIRE(this->Directory.Announcements == 1);
   this->Directory.Page.Records = {announcementOf("other")};
-  this->Directory.Page.Whole = true;
+  this->Directory.Page.IsSnapshot = true;
   this->Directory.Page.Next = atOffset(1, 1);
   this->Follower.step();
   this->Directory.Page.Records = {};
-  this->Directory.Page.Whole = false;
+  this->Directory.Page.IsSnapshot = false;
   this->Follower.step();
   CHECK(this->Directory.Announcements == 2);
 }
@@ -111,11 +111,11 @@
   void showConfig(std::uint64_t Version, std::uint64_t Next,
                   std::uint64_t Era) {
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(Next, Era);
-    Page.Versions.Shown = ValueVersion(Version);
+    Page.Versions.Current = ValueVersion(Version);
     Page.ProvenAt = SystemClock{}.now();
-    this->Board.feed(FeedKind::Config).take(Page, Page.ProvenAt);
+    this->Board.feed(FeedKind::Config).merge(Page, Page.ProvenAt);
   }
 };
 
@@ -161,10 +161,10 @@
   EntryBoard Board(settingsOf("me"), IncarnationId("second"));
   FakeDirectory Directory;
   Directory.Page.Records = {
-      {"me", packNode({{NodeId("me"), IncarnationId("first"), DataCentreId("a"),
-                        "", 0},
-                       {}})}};
-  Directory.Page.Whole = true;
+      {"me", packAnnouncement({{NodeId("me"), IncarnationId("first"),
+                                DataCentreId("a"), "", 0},
+                               {}})}};
+  Directory.Page.IsSnapshot = true;
   NodeFollower<FakeDirectory, FakeDirectory> Follower{Board, Directory,
                                                       Directory};
   Follower.step();
@@ -172,7 +172,7 @@
   CHECK(Directory.Announcements == 0);
   // That life had been told to stop; its drop comes late.
   Directory.Page.Records = {{"me", std::nullopt}};
-  Directory.Page.Whole = false;
+  Directory.Page.IsSnapshot = false;
   Follower.step();
   Follower.step();
   CHECK(Directory.Announcements == 1);
@@ -211,8 +211,8 @@
   Other.Node = NodeId("other");
   CrashRows Blamed;
   Blamed[Content].Ends = {TargetHash(1), TargetHash(2), TargetHash(3)};
-  Directory.Page.Records = {{"other", packNode({Other, Blamed})}};
-  Directory.Page.Whole = true;
+  Directory.Page.Records = {{"other", packAnnouncement({Other, Blamed})}};
+  Directory.Page.IsSnapshot = true;
   NodeFollower<FakeDirectory, FakeDirectory> Follower{Board, Directory,
                                                       Directory};
   Follower.step();
@@ -226,12 +226,12 @@
           "[unit]") {
   EntryBoard Board(settingsOf("me"), IncarnationId("i"));
   FakeDirectory Directory;
-  Directory.Page.Whole = true;
+  Directory.Page.IsSnapshot = true;
   NodeFollower<FakeDirectory, FakeDirectory> Follower{Board, Directory,
                                                       Directory};
   Follower.step();
   Directory.Page.Records = {announcementOf("me")};
-  Directory.Page.Whole = false;
+  Directory.Page.IsSnapshot = false;
   Follower.step();
   int Before = Directory.Announcements;
   CrashRows Blamed;
--- a/tests/unit/registry_follow_test.cpp
+++ b/tests/unit/registry_follow_test.cpp
@@ -21,13 +21,14 @@
   Settings Given;
   Given.Node = NodeId("n");
   Given.Entry.emplace();
-  Given.Entry->TargetHeartbeat = Millis(100);
+  Given.Entry->TargetHeartbeatInterval = Millis(100);
   return Given;
 }
 
-std::string entryOf(std::uint64_t Born, const std::string &More = "",
+std::string entryOf(std::uint64_t StartedAt, const std::string &More = "",
                     int Sequence = 0) {
-  std::string Start = Born ? R"("born":)" + std::to_string(Born) + "," : "";
+  std::string Start =
+      StartedAt ? R"("born":)" + std::to_string(StartedAt) + "," : "";
   return R"({"service":"plain","address":"10.0.0.1:80","zone":"a",)"
          R"("version":"v1","slots":6,"state":"ready","cold_left_ms":0,)" +
          Start + More + R"("sequence":)" + std::to_string(Sequence) + "}";
@@ -38,14 +39,14 @@
 struct RegistryFixture {
   RegistryFixture() : Board(entrySettings(), IncarnationId("i")) {}
 
-  /// The registry shows \p Records, all there is where \p Whole.
-  void show(const std::vector<KeyedRecord> &Records, bool Whole = false) {
+  /// The registry shows \p Records, all there is where \p IsSnapshot.
+  void show(const std::vector<KeyedRecord> &Records, bool IsSnapshot = false) {
     KeyedPage Page;
     Page.Records = Records;
-    Page.Whole = Whole;
+    Page.IsSnapshot = IsSnapshot;
     Page.Next = atOffset(++this->End, this->Era);
     Page.ProvenAt = SystemClock{}.now();
-    this->Board.feed(FeedKind::Registry).take(Page, Page.ProvenAt);
+    this->Board.feed(FeedKind::Registry).merge(Page, Page.ProvenAt);
     this->Follow.step();
   }
   /// When the listed life of \p Id started; nothing where none is listed.
@@ -55,12 +56,12 @@
           auto At = Rows.Targets.find(VmId(Id));
           if (At == Rows.Targets.end())
             return std::nullopt;
-          return At->second->Born.Value;
+          return At->second->StartedAt.Value;
         });
   }
   int countEvents(EventCode Code) {
     int Count = 0;
-    for (const EventRow &Row : this->Board.Log.since(0))
+    for (const LoggedEvent &Row : this->Board.Log.since(0))
       Count += Row.Code == Code;
     return Count;
   }
@@ -165,7 +166,8 @@
   }
   /// Until each target that lives has written again, and other entries lapsed.
   void waitForTargets() {
-    std::this_thread::sleep_for(3 * this->Board.Config.Entry->TargetHeartbeat);
+    std::this_thread::sleep_for(
+        3 * this->Board.Config.Entry->TargetHeartbeatInterval);
     this->Follow.step();
   }
 };
@@ -245,12 +247,12 @@
                  "written again",
                  "[unit]") {
   this->show({{"i-1", member("g2", 9)}}, true);
-  REQUIRE(this->Board.RegistryFresh.holds(SystemClock{}.now()));
+  REQUIRE(this->Board.RegistryLease.holds(SystemClock{}.now()));
   this->restore({{"i-1", member("g2", 9)}});
-  CHECK_FALSE(this->Board.RegistryFresh.holds(SystemClock{}.now()));
-  std::this_thread::sleep_for(FeedCache::LapseTime);
+  CHECK_FALSE(this->Board.RegistryLease.holds(SystemClock{}.now()));
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout);
   this->show({});
-  CHECK(this->Board.RegistryFresh.holds(SystemClock{}.now()));
+  CHECK(this->Board.RegistryLease.holds(SystemClock{}.now()));
 }
 
 TEST_CASE_METHOD(RegistryFixture,
@@ -258,8 +260,8 @@
                  "seen of it, and what ends late changes nothing",
                  "[unit]") {
   VitalsTable Vitals;
-  VmLife Before{VmId("i-1"), WallMs(100)};
-  VmLife After{VmId("i-1"), WallMs(200)};
+  VmIncarnation Before{VmId("i-1"), WallMs(100)};
+  VmIncarnation After{VmId("i-1"), WallMs(200)};
   TimePoint Now = SystemClock{}.now();
   Vitals.onStart(Before, 500, Now);
   Vitals.suspect(Before, Now, Millis(3000));
--- a/tests/unit/registry_spread_test.cpp
+++ b/tests/unit/registry_spread_test.cpp
@@ -73,13 +73,13 @@
     this->Levels = std::vector<Level>(Depth);
     this->Levels[0].BytesPerMs = FastBytesPerMs;
     KeyedPage All;
-    All.Whole = true;
+    All.IsSnapshot = true;
     for (std::uint64_t T = 0; T < Targets; ++T)
       All.Records.push_back({"i-" + std::to_string(T), entry(T, 0)});
     All.Next = atOffset(this->End);
     All.ProvenAt = at(0);
     for (Level &Row : this->Levels)
-      Row.Cache.take(All, at(0));
+      Row.Cache.merge(All, at(0));
   }
 
   /// What changed until \p Ms comes to the first reader.
@@ -97,7 +97,7 @@
     }
     Page.Next = atOffset(this->End);
     Page.ProvenAt = at(Ms);
-    this->Levels[0].Cache.take(Page, at(Ms));
+    this->Levels[0].Cache.merge(Page, at(Ms));
   }
 
   /// A node of level \p Index asks the one before it at \p Ms.
@@ -105,7 +105,7 @@
     Level &Asked = this->Levels[Index - 1];
     Level &Asks = this->Levels[Index];
     StorePosition From = *Asks.Cache.next();
-    KeyedPage Page = Asked.Cache.since(From, MostPartBytes);
+    KeyedPage Page = Asked.Cache.since(From, MaxPartBytes);
     auto News = Asked.Packer.pack(Page, From, at(Ms));
     if (News->left_out)
       ++this->LeftOut;
@@ -113,9 +113,9 @@
     double Time = static_cast<double>(News->deflated.size()) * Asked.Askers /
                   Asked.BytesPerMs;
     int Arrives = Ms + static_cast<int>(Time);
-    if (absl::StatusOr<KeyedPage> Read = readFeed(*News, at(Ms), at(Arrives));
+    if (absl::StatusOr<KeyedPage> Read = unpackFeed(*News, at(Ms), at(Arrives));
         Read.ok() && !News->left_out)
-      Asks.Cache.take(*Read, at(Arrives));
+      Asks.Cache.merge(*Read, at(Arrives));
     Asks.AsksAt = Arrives + (News->partial ? PartMs : RoundMs);
   }
 
@@ -155,7 +155,7 @@
     int Lag = Run.lagMs();
     INFO("lag " << Lag << " ms, largest answer " << Run.MostBytes);
     CHECK(Run.LeftOut == 0);
-    CHECK(Run.MostBytes <= MostPassedBytes);
+    CHECK(Run.MostBytes <= MaxUpdateBytes);
     CHECK(Lag < BoundMs);
   }
 }
@@ -165,8 +165,8 @@
           "[unit]") {
   SpreadFixture Run(2, 3000);
   FeedPacker Packer;
-  auto News = Packer.pack(Run.Levels[0].Cache.whole(), atOffset(), at(0),
-                          MostFilledBytes);
+  auto News = Packer.pack(Run.Levels[0].Cache.snapshot(), atOffset(), at(0),
+                          MaxSnapshotBytes);
   INFO(News->deflated.size() << " bytes");
   CHECK_FALSE(News->left_out);
 }
--- a/tests/unit/store_reader_test.cpp
+++ b/tests/unit/store_reader_test.cpp
@@ -42,7 +42,7 @@
     if (this->hangs())
       return makeError(ErrorKind::OutcomeUnknown, "Timeout");
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(End, Era);
     Page.Records.push_back({"a", "newest"});
     return Page;
@@ -107,14 +107,14 @@
     FakeStore::reset();
     this->Reader.emplace(this->Board, FeedKind::Registry, &FakeStore::open);
     this->tell(7);
-    this->Board.Relayed = true;
+    this->Board.HasUpstream = true;
   }
   void tell(std::uint64_t Next) {
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(Next);
     Page.ProvenAt = SystemClock{}.now();
-    this->cache().take(Page, Page.ProvenAt);
+    this->cache().merge(Page, Page.ProvenAt);
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Registry); }
   /// Runs the reads in turn and the watch over them in threads of their own for
@@ -183,7 +183,7 @@
     "is read once",
     "[unit]") {
   FakeStore::End = 8;
-  this->Board.state(FeedKind::Registry).LeftOut = true;
+  this->Board.feedState(FeedKind::Registry).RecordsOmitted = true;
   this->Reader->step();
   CHECK(this->cache().next() == atOffset(8));
   CHECK(FakeStore::Newest == 1);
@@ -196,7 +196,7 @@
     "at once",
     "[unit]") {
   FakeStore::Hangs = Millis(1000);
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   CachedFeed Follower(this->cache());
   std::thread Turn([&] { this->Reader->step(); });
   std::this_thread::sleep_for(Millis(50));
@@ -215,7 +215,7 @@
     "[unit]") {
   FakeStore::Hangs = Millis(1500);
   FakeStore::End = 8;
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   TimePoint Began = SystemClock{}.now();
   std::thread Known([&] {
     CachedFeed Follower(this->cache());
@@ -235,7 +235,7 @@
   this->tell(9);
   TimePoint Proven = this->cache().provenAt();
   FakeStore::End = 8;
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   this->Reader->step();
   CHECK(this->cache().next() == atOffset(9));
   CHECK(this->cache().provenAt() == Proven);
@@ -253,7 +253,7 @@
                  "store reader: the store came back from an older copy: all of "
                  "it is read, however far it goes",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   for (std::uint64_t End : {3, 7, 9}) {
     FakeStore::End = End;
     ++FakeStore::Era;
@@ -276,15 +276,15 @@
                  "store reader: the store came back from an older copy: keys "
                  "that it lacks may be written again for a while",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   ++FakeStore::Era;
   this->Reader->step();
   this->Reader->step();
   REQUIRE(this->cache().next()->Era == StoreEra(1));
-  Millis Left = std::chrono::ceil<Millis>(this->cache().whole().HoldUntil -
+  Millis Left = std::chrono::ceil<Millis>(this->cache().snapshot().RetainUntil -
                                           SystemClock{}.now());
-  CHECK(Left > FeedCache::LapseTime - Millis(500));
-  CHECK(Left <= FeedCache::LapseTime);
+  CHECK(Left > FeedCache::RecoveryTimeout - Millis(500));
+  CHECK(Left <= FeedCache::RecoveryTimeout);
 }
 
 // 295 nodes lost the store and have it back at the same moment. Each would read
@@ -293,18 +293,18 @@
                  "store reader: the store came back from an older copy, and a "
                  "neighbour reads it all: this node is told, and reads nothing",
                  "[unit]") {
-  this->Board.Relayed = false;
-  this->Board.FirstOfCentre = false;
-  this->Board.NodesKnown = 3;
+  this->Board.HasUpstream = false;
+  this->Board.FirstInCentre = false;
+  this->Board.KnownNodeCount = 3;
   FakeStore::End = 5;
   ++FakeStore::Era;
   std::thread Neighbour([&] {
     std::this_thread::sleep_for(Millis(300));
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(5, FakeStore::Era);
     Page.ProvenAt = SystemClock{}.now();
-    this->cache().take(Page, Page.ProvenAt);
+    this->cache().merge(Page, Page.ProvenAt);
   });
   this->run(Millis(500));
   Neighbour.join();
@@ -321,9 +321,9 @@
                  "store reader: the store came back from an older copy, and no "
                  "neighbour tells: this node reads it all, once",
                  "[unit]") {
-  this->Board.Relayed = false;
-  this->Board.FirstOfCentre = false;
-  this->Board.NodesKnown = 3;
+  this->Board.HasUpstream = false;
+  this->Board.FirstInCentre = false;
+  this->Board.KnownNodeCount = 3;
   ++FakeStore::Era;
   TimePoint Began = SystemClock{}.now();
   this->run(Millis(1300));
@@ -336,7 +336,7 @@
                  "store reader: an answer from before the store came back: it "
                  "is not taken and proves nothing",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   FakeStore::Era = 2;
   FakeStore::End = 3;
   this->Reader->step();
@@ -354,14 +354,14 @@
                  "store reader: an answer brings records late in its wait: the "
                  "next wait is shorter",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   FakeStore::Late = Millis(60);
   FakeStore::End = 8;
   this->Reader->step();
   Millis Pause = this->Reader->step();
   // 60 ms of the time between two proofs went while the records were on their
   // way, so the next may wait so much less.
-  Millis Span = *this->Board.mostAge(FeedKind::Registry) - Millis(100);
+  Millis Span = *this->Board.maxAge(FeedKind::Registry) - Millis(100);
   CHECK(FakeStore::LastWait <= Span - Millis(60));
   CHECK(Pause > Millis(0));
 }
@@ -371,12 +371,13 @@
                  "others at once",
                  "[unit]") {
   // What it knows came from the neighbour; nothing new comes meanwhile.
-  this->Board.Relayed = false;
-  REQUIRE_FALSE(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
+  this->Board.HasUpstream = false;
+  REQUIRE_FALSE(
+      this->Board.canServeFeed(FeedKind::Registry, SystemClock{}.now()));
   TimePoint Began = SystemClock{}.now();
   this->Reader->step();
   CHECK(SystemClock{}.now() - Began < Millis(50));
-  CHECK(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
+  CHECK(this->Board.canServeFeed(FeedKind::Registry, SystemClock{}.now()));
   // From then on it waits for what is new.
   this->Reader->step();
   CHECK(FakeStore::LastWait > Millis(50));
@@ -409,10 +410,10 @@
   ConfigFollower<CachedFeed, OneVersion> Follower(this->Board, Feed, {});
   this->Reader->step();
   Follower.step();
-  REQUIRE(this->Board.ConfigFresh.holds(SystemClock{}.now()));
+  REQUIRE(this->Board.ConfigLease.holds(SystemClock{}.now()));
   for (int Reads = 0; Reads < 3; ++Reads) {
     this->Reader->step();
-    CHECK(this->Board.ConfigFresh.holds(SystemClock{}.now()));
+    CHECK(this->Board.ConfigLease.holds(SystemClock{}.now()));
     Follower.step();
   }
 }
--- a/tools/without.py
+++ b/tools/without.py
@@ -30,7 +30,7 @@
         "entry: an unsigned"),
     "keys-proven": (
         "src/entry/relay_request.cpp",
-        "!Board.ConfigFresh.holds(Now)", "false",
+        "!Board.ConfigLease.holds(Now)", "false",
         "entry: the store is away"),
     "version-order": (
         "src/control/config_follow.h",
