--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -10,38 +10,40 @@
 
 namespace waycove {
 
-/// How a target took an order.
-enum class OrderEnd {
-  /// Begun, or it holds already.
-  Taken,
-  /// It does not fit the target's state.
+/// Outcome of an order sent to a target.
+enum class OrderOutcome {
+  /// Started, or already in effect.
+  Accepted,
+  /// Refused: it does not fit the target's state.
   Refused,
-  /// The target has seen a newer owner's order.
+  /// Refused: the target has seen a newer owner's order.
   Fenced,
-  /// Another process answers in the target's place: its life has ended.
-  Ended,
-  /// Nothing reached the target.
+  /// Another process responds at the target's address: the incarnation has
+  /// ended.
+  ProcessEnded,
+  /// The order did not reach the target.
   NotSent,
-  /// It may be carried out yet.
+  /// No response: it may or may not be carried out.
   Unknown,
 };
 
 /// Whether a target can be reached from this node.
-enum class Reach {
-  Answers,
-  /// Its process has ended: another one answers, also under its id.
-  Ended,
-  Silent,
+enum class Reachability {
+  Reachable,
+  /// Another process responds at its address, possibly under the same id.
+  ProcessEnded,
+  Unresponsive,
 };
 
-/// How orders and questions reach targets. ask() tells what became of a
-/// member whose entry went, reach() whether a listed one can be reached.
+/// Sends orders and queries to targets. queryStatus() returns the status of a
+/// member whose registry entry was removed, probe() whether a listed target can
+/// be reached.
 template <typename C>
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
-  { Control.order(Order, Fence) } -> std::same_as<OrderEnd>;
-  { Control.ask(Target) } -> std::same_as<MemberFate>;
-  { Control.reach(Target) } -> std::same_as<Reach>;
+  { Control.order(Order, Fence) } -> std::same_as<OrderOutcome>;
+  { Control.queryStatus(Target) } -> std::same_as<MemberFate>;
+  { Control.probe(Target) } -> std::same_as<Reachability>;
 };
 
 } // namespace waycove
--- /dev/null
+++ b/src/control/shared_observations.cpp
@@ -0,0 +1,148 @@
+// waycove: serving models that span several VMs.
+// Copyright 2026 the waycove authors. Licensed under the Apache License,
+// Version 2.0; see LICENSE.
+
+#include "control/shared_observations.h"
+
+#include "wire/news_frames.h"
+
+namespace waycove {
+
+void SharedObservations::addTo(wire::NewsWantedT &Request,
+                               const NodeInfo &Receiver, TimePoint Now) const {
+  LoadRows Own = this->ownLoads(Now);
+  DemandTable OwnDemand = this->ownDemand();
+  if (Receiver.DataCentre == this->Board.Config.DataCentre)
+    Request.renewals = this->renewals(Now);
+  std::lock_guard Lock(this->Mutex);
+  Request.loads = packLoads(this->Loads.upward(Own, Now));
+  Request.demand = packDemand(this->Demand.upward(OwnDemand, Now));
+  auto Received = this->CrashesReceivedAt.find(Receiver.Node);
+  Request.all_crashes = Received == this->CrashesReceivedAt.end() ||
+                        Now - Received->second >= CrashBlame::ShareTime;
+  Request.crashes = packCrashes(this->crashes(Request.all_crashes, Now));
+}
+
+void SharedObservations::exchange(const wire::NewsWantedT &Request,
+                                  wire::NewsT &Response, TimePoint Now) {
+  bool SameCentre = Request.data_centre == this->Board.Config.DataCentre.Text;
+  if (SameCentre) {
+    this->applyRenewals(Request.renewals, Now);
+    Response.renewals = this->renewals(Now);
+  }
+  this->applyCrashes(Request.crashes, Now);
+  Response.crashes = packCrashes(this->crashes(Request.all_crashes, Now));
+  LoadRows Own = this->ownLoads(Now);
+  DemandTable OwnDemand = this->ownDemand();
+  NodeId From(Request.node);
+  std::lock_guard Lock(this->Mutex);
+  if (SameCentre) {
+    this->Loads.report(From, unpackLoads(Request.loads), Now);
+    this->Demand.report(From, unpackDemand(Request.demand), Now);
+  } else {
+    this->Loads.reportCentre(From, unpackLoads(Request.loads), Now);
+    this->Demand.reportCentre(From, unpackDemand(Request.demand), Now);
+  }
+  Response.loads = packLoads(this->Loads.downward(Own, From, Now));
+  Response.demand = packDemand(this->Demand.downward(OwnDemand, From, Now));
+}
+
+void SharedObservations::apply(const wire::NewsT &Response, const NodeId &From,
+                               TimePoint SentAt, TimePoint Now) {
+  this->applyRenewals(Response.renewals, SentAt);
+  this->applyCrashes(Response.crashes, Now);
+  std::lock_guard Lock(this->Mutex);
+  // Changes after the response was made come with the next one.
+  this->CrashesReceivedAt[From] = SentAt;
+  std::erase_if(this->CrashesReceivedAt, [&](const auto &Row) {
+    return Now - Row.second >= CrashBlame::ShareTime;
+  });
+  this->Loads.tell(unpackLoads(Response.loads), Now);
+  this->Demand.tell(unpackDemand(Response.demand), Now);
+}
+
+LoadRows SharedObservations::ownLoads(TimePoint Now) const {
+  return this->Board.TargetStats.read(
+      [&](const VitalsTable &Rows) { return Rows.loads(Now); });
+}
+
+DemandTable SharedObservations::ownDemand() const {
+  return this->Board.Demand.read([](const DemandTable &Rows) { return Rows; });
+}
+
+void SharedObservations::publish(TimePoint Now) {
+  this->updateBlame(Now);
+  LoadRows Others;
+  DemandTable OthersDemand;
+  {
+    std::lock_guard Lock(this->Mutex);
+    Others = this->Loads.others(Now);
+    OthersDemand = this->Demand.others(Now);
+  }
+  this->Board.RemoteDemand.write(
+      [&](DemandTable &Rows) { Rows = std::move(OthersDemand); });
+  ServingViewRef View =
+      this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
+  CentreLoads Centres = this->Board.TargetStats.write([&](VitalsTable &Rows) {
+    Rows.takeNews(std::move(Others), Now);
+    return centreLoads(*View, Rows, this->Board.Config.DataCentre, Now);
+  });
+  auto Changes = this->Board.Balance.write(
+      [&](CentreBalance &Parts) { return Parts.update(Centres, Now); });
+  for (const CentreBalance::Change &Row : Changes)
+    this->Board.Log.emit(
+        Row.Busy ? EventCode::CentreBusy : EventCode::CentreEased,
+        Row.Pool.Service.Text,
+        LogFields().add("model", Row.Pool.Model).add("stay", Row.Stay));
+}
+
+CrashRows SharedObservations::crashes(bool All, TimePoint Now) const {
+  return this->Board.Crashes.read([&](const CrashBlame &Rows) {
+    return All ? Rows.whole() : Rows.recent(Now);
+  });
+}
+
+void SharedObservations::applyCrashes(
+    const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows, TimePoint Now) {
+  if (Rows.empty())
+    return;
+  CrashRows Crashes = unpackCrashes(Rows);
+  this->Board.Crashes.write([&](CrashBlame &Into) { Into.take(Crashes, Now); });
+}
+
+void SharedObservations::updateBlame(TimePoint Now) {
+  CrashBlame::Changes Found =
+      this->Board.TargetStats.read([&](const VitalsTable &Seen) {
+        auto LastProgress = [&](const VmIncarnation &Target) {
+          return Seen.of(Target).LastProgress;
+        };
+        return this->Board.Crashes.write(
+            [&](CrashBlame &Rows) { return Rows.settle(LastProgress, Now); });
+      });
+  for (const auto &[Content, Row] : Found.Blamed)
+    this->Board.Log.emit(EventCode::RequestBlamed,
+                         std::to_string(Content.Value),
+                         LogFields()
+                             .add("ends", Row.Ends.size())
+                             .add("served", Row.Served)
+                             .add("tried", Row.Tried));
+  for (ContentHash Content : Found.Cleared)
+    this->Board.Log.emit(EventCode::RequestCleared,
+                         std::to_string(Content.Value));
+}
+
+/// Renewals of members in this data centre; other data centres do not need
+/// them.
+std::vector<wire::RenewalRow>
+SharedObservations::renewals(TimePoint Now) const {
+  return this->Board.Renewals.read(
+      [&](const ShareRenewals &Rows) { return packRenewals(Rows, Now); });
+}
+
+void SharedObservations::applyRenewals(
+    const std::vector<wire::RenewalRow> &Rows, TimePoint From) {
+  this->Board.Renewals.write(
+      [&](ShareRenewals &Into) { waycove::mergeRenewals(Rows, From, Into); });
+}
+
+} // namespace waycove
--- a/tools/without.py
+++ b/tools/without.py
@@ -25,15 +25,15 @@
         "Key.Epoch <= S.View.OwnedFloor", "false",
         "planner: lost, late"),
     "signed-success": (
-        "src/entry/answer_pass.h",
-        "!Facts.Signed || ", "",
+        "src/entry/response_forwarder.h",
+        "!Info.Signed || ", "",
         "entry: an unsigned"),
     "keys-proven": (
         "src/entry/relay_request.cpp",
         "!Board.ConfigLease.holds(Now)", "false",
         "entry: the store is away"),
     "version-order": (
-        "src/control/config_follow.h",
+        "src/control/config_follower.h",
         "Row && Config->Version <= Row->Version", "false",
         "entry: a key is taken away"),
     "proof-age": (
@@ -45,7 +45,7 @@
         "CLOCK_BOOTTIME", "CLOCK_MONOTONIC",
         "suspended machine"),
     "blame": (
-        "src/entry/relay_choice.cpp",
+        "src/entry/relay_policy.cpp",
         "return Found == Verdict::Serve;", "return true;",
         "crashing request"),
     "blame-explains": (
@@ -57,8 +57,8 @@
         "WasServed || this->Served.contains(Content)", "false",
         "crash blame: answered before"),
     "blame-lasts": (
-        "src/control/node_follow.h",
-        "this->takeBlamed(Read->Blamed);", "",
+        "src/control/node_follower.h",
+        "this->applyBlamed(Read->Blamed);", "",
         "directory: an announcement blames"),
     "shared-sight": (
         "src/policy/vitals.cpp",
@@ -69,8 +69,8 @@
         "RestingPart * MostOfAll * EvenShare", "1.0 * MostOfAll",
         "connections: many nodes"),
     "unreached-out": (
-        "src/control/member_inquiry.h",
-        "this->Silent[Vm] = {Now, SilentAsks};", "",
+        "src/control/member_prober.h",
+        "this->Suspects[Vm] = {Now, MaxFailures};", "",
         "members: one is not reached"),
     "missing-staged": (
         "src/policy/domain_stage.cpp",
@@ -83,7 +83,7 @@
         "staging: a model is short"),
     "loads-at-once": (
         "src/control/load_budget.cpp",
-        "Most - Begun", "1000.0",
+        "Max - Begun", "1000.0",
         "load budget"),
     "doubts-shared": (
         "src/policy/vitals.cpp",
@@ -107,39 +107,39 @@
         "domain views: other domains"),
     "news-age": (
         "src/control/store_reader.h",
-        "Most && Now - this->Cache.provenAt() >= *Most", "false && Most && Now > TimePoint()",
+        "MaxAge && Now - this->Cache.provenAt() >= *MaxAge", "false && MaxAge && Now > TimePoint()",
         "store reader: the neighbour falls silent"),
     "era-compared": (
         "src/control/store_reader.h",
         "if (!Whole && Page->Next.Era > From->Era) {", "if (false) {",
         "store reader: the store came back"),
     "lost-proves-nothing": (
-        "src/control/config_follow.h",
+        "src/control/config_follower.h",
         "return Waited && !Page.Versions.isLost();", "return Waited;",
         "config: the store came back with an older"),
     "older-not-in-force": (
-        "src/control/config_follow.h",
-        "if (this->inForce() >= this->Least)", "if (true)",
+        "src/control/config_follower.h",
+        "if (this->inForce() >= this->MinVersion)", "if (true)",
         "config: a node that starts"),
     "strangers-wait": (
         "src/control/restore_wait.h",
         "return Page.Versions.Settled || Page.ProvenAt >= this->Until;", "return true;",
         "store restored: all entries|config: the store came back with the version in force: "),
     "era-noted": (
-        "src/control/node_follow.h",
-        "for (const NodeInfo &Row : Come)\n      this->noteSettled(Row.Settled);", "",
+        "src/control/node_follower.h",
+        "for (const NodeInfo &Row : Present)\n      this->settle(Row.Settled);", "",
         "directory: another node|store restored: written again"),
     "restored-held": (
-        "src/control/registry_follow.h",
-        "if (this->isHeld(*Read, hashText(*Row.Value), Now)) {", "if (false) {",
+        "src/control/registry_follower.h",
+        "if (this->isHeld(*Read, hashText(*Record.Value), Now)) {", "if (false) {",
         "registry restored|store restored: a target"),
     "restored-unplanned": (
-        "src/control/registry_follow.h",
+        "src/control/registry_follower.h",
         "if (Now >= this->SettledAt)", "if (true)",
         "registry restored: nothing is planned"),
     "second-connection": (
         "src/control/store_reader.h",
-        "Millis Pause = this->read(this->Spare, Millis(0), false);", "Millis Pause(50);",
+        "Millis Pause = this->read(this->Backup, Millis(0), false);", "Millis Pause(50);",
         "store reader: its call hangs and|leaving target: a node|neighbours: alone"),
     "kept-last": (
         "src/policy/choice.cpp",
@@ -151,11 +151,11 @@
         "choice: the registry is old|leaving target: no node"),
     "news-from-peers": (
         "src/control/news.cpp",
-        "this->askPeers(Nodes, SystemClock{}.now());", "",
+        "this->queryPeers(Nodes, SystemClock{}.now());", "",
         "leaving target: the reader loses"),
     "given-up-reset": (
         "src/entry/relay.h",
-        "if (End != AttemptEnd::Done && Try.Connection)", "if (false)",
+        "if (End != AttemptEnd::Done && Attempt.Connection)", "if (false)",
         "leaving target: a send"),
     "stale-proves-nothing": (
         "src/board/feed_cache.cpp",
@@ -183,8 +183,8 @@
         "(Late ? 1U : 0U)", "0U",
         "urgency: one is late"),
     "answer-id": (
-        "src/entry/answer_pass.h",
-        "Facts.Request == Ex.Request.Facts.Id", "true",
+        "src/entry/response_forwarder.h",
+        "Info.Id == Ex.Request.Info.Id", "true",
         "entry: another's answer"),
     "members-counted": (
         "src/edge/serve_model.h",
