--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -42,7 +42,7 @@
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
   { Control.order(Order, Fence) } -> std::same_as<OrderOutcome>;
-  { Control.queryStatus(Target) } -> std::same_as<MemberFate>;
+  { Control.queryStatus(Target) } -> std::same_as<MemberStatus>;
   { Control.probe(Target) } -> std::same_as<Reachability>;
 };
 
--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -22,7 +22,7 @@
 unsigned LoadBudget::allowed(unsigned Scheduled, const EngineSpec &Engine,
                              TimePoint Now) {
   if (this->isUnlimited())
-    return FreeLoads;
+    return UnlimitedLoads;
   std::erase_if(this->LoadTimes,
                 [&](TimePoint At) { return Now - At > LoadWindow; });
   double Seconds = std::chrono::duration<double>(LoadWindow).count();
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -11,13 +11,13 @@
 
 /// Limits the rate at which this node's domains begin to load weights from the
 /// shared store: its part of the platform's limit over all nodes. How many
-/// loads run at once is limited by loadTurns(). Used by one thread.
+/// loads run at once is limited by scheduleLoads(). Used by one thread.
 class LoadBudget {
 public:
   explicit LoadBudget(const EntryBoard &Board) : Board(Board) {}
 
-  /// How many of \p Scheduled loads may begin now; FreeLoads before the first
-  /// request of a first start.
+  /// How many of \p Scheduled loads may begin now; UnlimitedLoads before the
+  /// first request of a first start.
   unsigned allowed(unsigned Scheduled, const EngineSpec &Engine, TimePoint Now);
   /// Records the load that \p Order causes, if any.
   void recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
--- a/src/control/member_prober.h
+++ b/src/control/member_prober.h
@@ -22,7 +22,7 @@
       : Board(Board), Targets(Targets) {}
 
   /// Status of the members that were queried.
-  const std::map<VmIncarnation, MemberFate> &statuses() const {
+  const std::map<VmIncarnation, MemberStatus> &statuses() const {
     return this->Statuses;
   }
 
@@ -79,27 +79,27 @@
       this->probeHead(Groups[Key], View.Now);
     for (const auto &[Id, State] : this->Suspects)
       if (State.Failures >= MaxFailures)
-        View.Lost.insert(Id);
+        View.PresumedDead.insert(Id);
   }
 
   /// Queries the status of members whose registry entries were removed.
   void queryRemoved(const DomainView &View,
-                    const std::vector<GoneTarget> &Members) {
-    for (const GoneTarget &Member : Members) {
+                    const std::vector<RemovedTarget> &Members) {
+    for (const RemovedTarget &Member : Members) {
       ProbeState &Entry = this->Queries[Member.Last->incarnation()];
-      MemberFate &Known = this->Statuses[Member.Last->incarnation()];
+      MemberStatus &Known = this->Statuses[Member.Last->incarnation()];
       Millis Interval =
-          Known == MemberFate::Unknown ? ProbeInterval : RequeryInterval;
+          Known == MemberStatus::Unknown ? ProbeInterval : RequeryInterval;
       if (Entry.At != TimePoint() && View.Now - Entry.At < Interval)
         continue;
       Entry.At = View.Now;
-      MemberFate Status = this->Targets.queryStatus(*Member.Last);
-      if (Status == MemberFate::Unknown && this->reachesAny(View))
+      MemberStatus Status = this->Targets.queryStatus(*Member.Last);
+      if (Status == MemberStatus::Unknown && this->reachesAny(View))
         ++Entry.Failures;
       else
         Entry.Failures = 0;
       if (Entry.Failures >= MaxFailures)
-        Status = MemberFate::Dead;
+        Status = MemberStatus::Dead;
       if (std::exchange(Known, Status) == Status)
         continue;
       this->Board.Log.emit(EventCode::DomainReleased, Member.Last->Id.Text,
@@ -194,7 +194,7 @@
 
   EntryBoard &Board;
   Control &Targets;
-  std::map<VmIncarnation, MemberFate> Statuses;
+  std::map<VmIncarnation, MemberStatus> Statuses;
   std::map<VmIncarnation, ProbeState> Queries;
   std::map<VmIncarnation, ProbeState> Suspects;
 };
--- a/src/control/restored_entries.cpp
+++ b/src/control/restored_entries.cpp
@@ -8,7 +8,7 @@
 
 std::optional<StaleReason>
 RestoredEntries::staleReasonOf(const TargetInfo &Read, const Fleet &Known) {
-  if (auto Gone = Known.Gone.find(Read.Id); Gone != Known.Gone.end())
+  if (auto Gone = Known.Removed.find(Read.Id); Gone != Known.Removed.end())
     return Gone->second.Last->StartedAt == Read.StartedAt
                ? std::optional(StaleReason::TargetRemoved)
                : std::nullopt;
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -182,7 +182,7 @@
         [&](VitalsTable &Rows) { Rows.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Rows) {
       for (auto &[Model, Row] : Rows)
-        Row = Row.scaled(DemandKept);
+        Row = Row.scaled(DemandDecay);
     });
     if (++this->SweepCount % SweepsPerCallLog == 0)
       this->logStoreCalls();
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -91,7 +91,8 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const Serving &To, TimePoint ChosenAt) {
+  AttemptEnd attempt(RelayExchange &Ex, const ServingTarget &To,
+                     TimePoint ChosenAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
     const VmIncarnation Life = To.Target->incarnation();
@@ -167,7 +168,7 @@
                                       const RelayAttempt &Attempt) {
     const RelayRequest &Request = Ex.Request;
     Millis Waited =
-        waitedBefore(*Request.Route, Request.Info.Timeout) +
+        priorWait(*Request.Route, Request.Info.Timeout) +
         std::chrono::duration_cast<Millis>(Attempt.SentAt - Request.ArrivedAt);
     AttemptParams Info{
         Attempt.To.Target->Id, Request.Workspace,
--- a/src/entry/relay_log.h
+++ b/src/entry/relay_log.h
@@ -21,7 +21,8 @@
   /// A send ended without a whole answer.
   void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
   /// The request ended with the answer of \p To, or because the caller left.
-  void requestDone(const RelayExchange &Ex, const Serving &To, AttemptEnd End);
+  void requestDone(const RelayExchange &Ex, const ServingTarget &To,
+                   AttemptEnd End);
   /// The request ended with a target's own failure.
   void requestFailed(const RelayExchange &Ex, const std::string &Reason);
   /// The request's answer had begun and was given up.
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -26,7 +26,7 @@
       ModelDemand &Row = Rows[Info.Model];
       ++Row.Requests;
       Row.PromptTokens += static_cast<double>(Info.PromptTokens);
-      Row.AnswerTokens += static_cast<double>(Info.MaxOutputTokens);
+      Row.OutputTokens += static_cast<double>(Info.MaxOutputTokens);
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Given = *this->Board.Config.Entry;
@@ -105,7 +105,8 @@
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.TargetStats.read(
       [&](const VitalsTable &TargetStats) -> std::optional<ChosenTarget> {
-        const Serving *Row = chooseTarget(Rows->second, TargetStats, Query);
+        const ServingTarget *Row =
+            chooseTarget(Rows->second, TargetStats, Query);
         if (!Row)
           return std::nullopt;
         return ChosenTarget{
--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -75,7 +75,7 @@
   Target.StartedAt = WallMs(1);
   // It was listed as it started long ago; what answers has started since.
   CHECK(Control.probe(Target) == Reachability::ProcessEnded);
-  CHECK(Control.queryStatus(Target) == MemberFate::Dead);
+  CHECK(Control.queryStatus(Target) == MemberStatus::Dead);
   Target.StartedAt = WallMs();
   CHECK(Control.probe(Target) == Reachability::Reachable);
   auto Other = std::make_shared<TargetInfo>(Target);
--- a/tests/unit/domain_owner_test.cpp
+++ b/tests/unit/domain_owner_test.cpp
@@ -39,7 +39,7 @@
     this->Epoch = std::max(this->Epoch, Order.Group.Epoch);
     return OrderOutcome::Accepted;
   }
-  MemberFate queryStatus(const TargetInfo &) { return MemberFate::Unknown; }
+  MemberStatus queryStatus(const TargetInfo &) { return MemberStatus::Unknown; }
   Reachability probe(const TargetInfo &) { return Reachability::Reachable; }
 
   std::mutex Mutex;
--- a/tests/unit/load_budget_test.cpp
+++ b/tests/unit/load_budget_test.cpp
@@ -65,7 +65,7 @@
   Config.Entry->FirstStart = true;
   EntryBoard First(Config, IncarnationId("i"));
   LoadBudget Free(First);
-  CHECK(Free.allowed(0, this->Engine, at(0)) == FreeLoads);
+  CHECK(Free.allowed(0, this->Engine, at(0)) == UnlimitedLoads);
   First.RequestSeen = true;
   CHECK(Free.allowed(0, this->Engine, at(0)) == 0);
 }
