--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t LengthBytes = 4;
 constexpr Millis SendTimeout(3000);
 
-Poco::Timespan spanOf(Millis Time) { return {Time.count() * 1000}; }
+Poco::Timespan spanOf(Millis Duration) { return {Duration.count() * 1000}; }
 
 } // namespace
 
@@ -77,17 +77,17 @@
     this->Counters.add(Counter::PeerBytesOut, Out.size());
     return true;
   } catch (const Poco::Exception &) {
-    // Half a frame may be out: nothing sensible can follow on this stream.
+    // The frame may be sent partially, so the stream cannot be used further.
     this->shutdown();
     return false;
   }
 }
 
-bool FrameSocket::readAll(char *Into, std::size_t Count) {
+bool FrameSocket::readAll(char *Out, std::size_t Count) {
   std::size_t Got = 0;
   while (Got < Count) {
     int Read =
-        this->Socket.receiveBytes(Into + Got, static_cast<int>(Count - Got));
+        this->Socket.receiveBytes(Out + Got, static_cast<int>(Count - Got));
     if (Read <= 0)
       return false;
     Got += static_cast<std::size_t>(Read);
@@ -121,7 +121,7 @@
   try {
     this->Socket.shutdown();
   } catch (const Poco::Exception &) {
-    // Closed already, which is what was wanted.
+    // The connection is closed already.
   }
 }
 
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -13,42 +13,43 @@
 
 namespace waycove {
 
-/// Largest frame that a daemon sends or takes.
+/// Maximum size of a frame.
 constexpr std::size_t MaxFrameBytes = 64 << 20;
 
-/// Serialises a frame, without its length.
+/// Serialises a frame without its length prefix.
 std::string packFrame(const wire::FrameT &Frame);
-/// Reads a frame; BadRequest where the bytes are no valid one.
+/// Parses a frame. Errors: BadRequest if the bytes are not a valid frame.
 absl::StatusOr<wire::FrameT> unpackFrame(const std::string &Bytes);
 
-/// One TCP connection between daemons, carrying frames that are each preceded
-/// by their length in four bytes, little end first. Sending is thread-safe;
-/// one thread at a time may receive.
+/// A TCP connection between daemons that carries frames, each with a four-byte
+/// little-endian length prefix. Sending is thread-safe; only one thread at a
+/// time may receive.
 class FrameSocket {
 public:
   FrameSocket(const Poco::Net::StreamSocket &Socket, Metrics &Counters);
 
-  /// Opens a connection; the message says what went wrong.
+  /// Opens a connection. Errors: NoCapacity.
   static absl::StatusOr<Poco::Net::StreamSocket>
   dial(const std::string &Host, std::uint16_t Port, Millis Timeout);
 
-  /// False where the connection is broken; the frame may or may not arrive.
+  /// Sends \p Frame. Returns false if the connection is broken; the frame may
+  /// still have arrived.
   bool send(const wire::FrameT &Frame);
-  /// The next frame. Errors: OutcomeUnknown where the connection ended or
-  /// nothing came within \p Timeout; BadRequest for damage.
+  /// Receives the next frame. Errors: OutcomeUnknown if the connection ended or
+  /// nothing arrived within \p Timeout; BadRequest for a damaged frame.
   absl::StatusOr<wire::FrameT> receive(Millis Timeout);
-  /// Makes a receive in another thread return.
+  /// Shuts the connection down, which unblocks receive() in another thread.
   void shutdown();
 
 private:
-  bool readAll(char *Into, std::size_t Count);
+  bool readAll(char *Out, std::size_t Count);
 
   Poco::Net::StreamSocket Socket;
   Metrics &Counters;
   std::mutex SendMutex;
 };
 
-/// Builds a frame around one message.
+/// Wraps a message in a frame.
 template <typename T> wire::FrameT makeFrame(std::uint64_t Clock, T Message) {
   wire::FrameT Frame;
   Frame.clock = Clock;
--- a/src/wire/news_frames.cpp
+++ b/src/wire/news_frames.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-/// Records of fewer bytes go as they are.
-constexpr std::size_t DeflatedFrom = 4 << 10;
-/// The fastest: level 6 takes three times as long for a tenth less.
+/// Smaller updates are not deflated.
+constexpr std::size_t MinDeflateBytes = 4 << 10;
+/// The fastest zlib level.
 constexpr int DeflateLevel = 1;
-/// No feed is larger: bounds what damaged bytes may inflate to.
-constexpr std::size_t MostInflatedBytes = 32 << 20;
+/// Limits the memory that damaged bytes can inflate to.
+constexpr std::size_t MaxInflatedBytes = 32 << 20;
 constexpr std::size_t InflateBlock = 16 << 10;
 
-/// Nobody waits longer for an answer. One that seems to have taken longer was
-/// read by a machine that stood still meanwhile.
-constexpr Millis MostAnswerTime{500};
+/// Upper bound on the response time that is assumed for a response. A longer
+/// time means that this machine was suspended meanwhile.
+constexpr Millis MaxResponseTime{500};
 
 std::uint16_t shortOf(std::int64_t Value) {
   return static_cast<std::uint16_t>(std::clamp<std::int64_t>(
@@ -37,7 +37,7 @@
 std::uint32_t ageOf(TimePoint At, TimePoint Now) {
   if (At == TimePoint())
     return std::numeric_limits<std::uint32_t>::max();
-  // Rounded up: an age must not be understated.
+  // Rounded up, since an age must not be understated.
   return static_cast<std::uint32_t>(
       std::max<std::int64_t>(0, std::chrono::ceil<Millis>(Now - At).count()));
 }
@@ -61,16 +61,16 @@
 
 } // namespace
 
-std::string packAnnouncement(const Announcement &Given) {
+std::string packAnnouncement(const Announcement &Entry) {
   wire::PeerRowT Row;
-  Row.node = Given.Node.Node.Text;
-  Row.incarnation = Given.Node.Incarnation.Text;
-  Row.data_centre = Given.Node.DataCentre.Text;
-  Row.host = Given.Node.Host;
-  Row.peer_port = Given.Node.Port;
-  Row.link_mbps = Given.Node.LinkMbps;
-  Row.settled_era = Given.Node.Settled.Value;
-  Row.blamed = packCrashes(Given.Blamed);
+  Row.node = Entry.Node.Node.Text;
+  Row.incarnation = Entry.Node.Incarnation.Text;
+  Row.data_centre = Entry.Node.DataCentre.Text;
+  Row.host = Entry.Node.Host;
+  Row.peer_port = Entry.Node.Port;
+  Row.link_mbps = Entry.Node.LinkMbps;
+  Row.settled_era = Entry.Node.Settled.Value;
+  Row.blamed = packCrashes(Entry.Blamed);
   flatbuffers::FlatBufferBuilder Builder;
   Builder.Finish(wire::PeerRow::Pack(Builder, &Row));
   return {reinterpret_cast<const char *>(Builder.GetBufferPointer()),
@@ -120,12 +120,12 @@
 std::vector<std::unique_ptr<wire::DemandRowT>>
 packDemand(const DemandTable &Demand) {
   std::vector<std::unique_ptr<wire::DemandRowT>> Rows;
-  for (const auto &[Model, Asked] : Demand) {
+  for (const auto &[Model, ModelDemand] : Demand) {
     Rows.push_back(std::make_unique<wire::DemandRowT>());
     Rows.back()->model = Model;
-    Rows.back()->requests = static_cast<float>(Asked.Requests);
-    Rows.back()->prompt_tokens = static_cast<float>(Asked.PromptTokens);
-    Rows.back()->answer_tokens = static_cast<float>(Asked.OutputTokens);
+    Rows.back()->requests = static_cast<float>(ModelDemand.Requests);
+    Rows.back()->prompt_tokens = static_cast<float>(ModelDemand.PromptTokens);
+    Rows.back()->answer_tokens = static_cast<float>(ModelDemand.OutputTokens);
   }
   return Rows;
 }
@@ -175,9 +175,9 @@
 }
 
 void mergeRenewals(const std::vector<wire::RenewalRow> &Rows, TimePoint From,
-                   ShareRenewals &Into) {
+                   ShareRenewals &Out) {
   for (const wire::RenewalRow &Row : Rows)
-    Into.note(MemberHash(Row.node()), From - Millis(Row.age_ms()));
+    Out.note(MemberHash(Row.node()), From - Millis(Row.age_ms()));
 }
 
 wire::FeedMark packMarks(const EraMarks &Marks) {
@@ -213,14 +213,14 @@
   Poco::InflatingInputStream Inflate(In);
   std::string Text;
   std::array<char, InflateBlock> Block{};
-  while (Inflate && Text.size() <= MostInflatedBytes) {
+  while (Inflate && Text.size() <= MaxInflatedBytes) {
     Inflate.read(Block.data(), Block.size());
     Text.append(Block.data(), static_cast<std::size_t>(Inflate.gcount()));
   }
   const auto *Data = reinterpret_cast<const std::uint8_t *>(Text.data());
   flatbuffers::Verifier Verifier(Data, Text.size());
   if (Inflate.bad() || Text.size() < sizeof(flatbuffers::uoffset_t) ||
-      Text.size() > MostInflatedBytes ||
+      Text.size() > MaxInflatedBytes ||
       !Verifier.VerifyBuffer<wire::FeedRows>(nullptr))
     return makeError(ErrorKind::BadRequest, "damaged records");
   wire::FeedRowsT Table;
@@ -233,17 +233,17 @@
 
 const std::vector<std::uint8_t> &FeedPacker::deflated(const KeyedPage &Page,
                                                       StorePosition From) {
-  auto At = std::find_if(this->Kept.begin(), this->Kept.end(),
-                         [&](const Packed &Row) {
-                           return Row.From == From && Row.Next == Page.Next &&
-                                  Row.IsSnapshot == Page.IsSnapshot;
-                         });
-  if (At == this->Kept.end()) {
-    this->Kept.push_front(
+  auto At = std::find_if(
+      this->Cache.begin(), this->Cache.end(), [&](const CachedRecords &Cached) {
+        return Cached.From == From && Cached.Next == Page.Next &&
+               Cached.IsSnapshot == Page.IsSnapshot;
+      });
+  if (At == this->Cache.end()) {
+    this->Cache.push_front(
         {From, Page.Next, Page.IsSnapshot, deflateRecords(Page.Records)});
-    if (this->Kept.size() > MostKept)
-      this->Kept.pop_back();
-    At = this->Kept.begin();
+    if (this->Cache.size() > MaxCached)
+      this->Cache.pop_back();
+    At = this->Cache.begin();
   }
   return At->Bytes;
 }
@@ -251,7 +251,7 @@
 std::unique_ptr<wire::FeedNewsT> FeedPacker::pack(const KeyedPage &Page,
                                                   StorePosition From,
                                                   TimePoint Now,
-                                                  std::size_t Most) {
+                                                  std::size_t MaxBytes) {
   auto News = std::make_unique<wire::FeedNewsT>();
   News->known = true;
   News->whole = Page.IsSnapshot;
@@ -267,13 +267,13 @@
   std::size_t Bytes = 0;
   for (const KeyedRecord &Record : Page.Records)
     Bytes += Record.Key.size() + (Record.Value ? Record.Value->size() : 0);
-  if (Bytes <= DeflatedFrom) {
+  if (Bytes <= MinDeflateBytes) {
     for (const KeyedRecord &Record : Page.Records)
       News->rows.push_back(packRecord(Record));
     return News;
   }
   const std::vector<std::uint8_t> &Deflated = this->deflated(Page, From);
-  News->left_out = Deflated.size() > Most;
+  News->left_out = Deflated.size() > MaxBytes;
   if (!News->left_out)
     News->deflated = Deflated;
   return News;
@@ -287,12 +287,12 @@
   Page.Versions = {ValueVersion(News.shown), ValueVersion(News.before),
                    News.settled};
   Page.Partial = News.partial;
-  // A part says nothing of what came after it.
+  // A part proves nothing about later records.
   if (!News.partial)
     Page.ProvenAt = SentAt - Millis(News.proven_age_ms);
   if (News.hold_ms > 0)
     Page.RetainUntil =
-        std::min(Now, SentAt + MostAnswerTime) + Millis(News.hold_ms);
+        std::min(Now, SentAt + MaxResponseTime) + Millis(News.hold_ms);
   for (const auto &Row : News.rows)
     Page.Records.push_back(readRecord(*Row));
   if (!News.deflated.empty()) {
--- a/src/wire/news_frames.h
+++ b/src/wire/news_frames.h
@@ -16,16 +16,16 @@
 
 namespace waycove {
 
-/// What lies in the directory under a node's name.
+/// A node's entry in the directory.
 struct Announcement {
   NodeInfo Node;
-  /// Contents that are blamed for the end of targets, so that this outlives a
+  /// Contents blamed for crashes of targets, stored so that they survive a
   /// restart of all nodes.
   CrashRows Blamed;
 };
 
-std::string packAnnouncement(const Announcement &Given);
-/// Errors: BadRequest where the bytes are no announcement.
+std::string packAnnouncement(const Announcement &Entry);
+/// Errors: BadRequest if the bytes are not a valid announcement.
 absl::StatusOr<Announcement> unpackAnnouncement(const std::string &Bytes);
 
 std::vector<wire::LoadRow> packLoads(const LoadRows &Loads);
@@ -43,54 +43,47 @@
 
 std::vector<wire::RenewalRow> packRenewals(const ShareRenewals &Renewals,
                                            TimePoint Now);
-/// Ages count from \p From.
+/// Merges \p Rows, whose ages are relative to \p From, into \p Out.
 void mergeRenewals(const std::vector<wire::RenewalRow> &Rows, TimePoint From,
-                   ShareRenewals &Into);
+                   ShareRenewals &Out);
 
 wire::FeedMark packMarks(const EraMarks &Marks);
 EraMarks unpackMarks(const wire::FeedMark &Row);
 
-/// A node passes at most this much of a feed on in an answer. What changed
-/// comes in parts; a single record that is larger is left out, and whoever asks
-/// reads it from the store: a configuration of 1,130 routes took 2.0 s to
-/// twelve neighbours over a link of 20 Mbit/s, and held up what the registry
-/// told of leaving targets behind it; this much takes 0.16 s.
+/// Maximum size of the records of a feed in a response, deflated. Changes are
+/// sent in parts. A larger single record is omitted and read from the store by
+/// the receiver, so that it does not delay the other feeds on a slow link.
 inline constexpr std::size_t MaxUpdateBytes = 32 << 10;
-/// Of records before they are deflated, in a part: they shrink to a sixth, so
-/// that such a part is about as large.
+/// Maximum size of the records of a part before compression, which reduces them
+/// to about a sixth.
 inline constexpr std::size_t MaxPartBytes = 160 << 10;
-/// The same for all of a feed, as a node gets it that knows nothing yet or is
-/// behind what its reader remembers: the entries of 3,000 targets are some 0.2
-/// MB. Left out, they went from the store to each of 301 nodes, 2.4 MB each
-/// where it gives 80 MB/s in all, and configurations came 10 s late behind
-/// them.
+/// As MaxUpdateBytes, for a snapshot of a feed. Larger, because nodes that
+/// start together would otherwise all read the snapshot from the store.
 inline constexpr std::size_t MaxSnapshotBytes = 512 << 10;
 
-/// Records as one block of bytes, deflated; they repeat their field names and
-/// addresses and shrink to about a sixth.
+/// Serialises and deflates records.
 std::vector<std::uint8_t> deflateRecords(const std::vector<KeyedRecord> &Rows);
-/// The same back, with offsets but no era. Errors: BadRequest where the bytes
-/// are damaged.
+/// Inverse of deflateRecords(), except that positions have no era. Errors:
+/// BadRequest if the bytes are damaged.
 absl::StatusOr<std::vector<KeyedRecord>>
 inflateRecords(const std::vector<std::uint8_t> &Bytes);
 
-/// Makes what a node tells of a feed. What it deflated lately is kept, since
-/// those that read through it ask for the same one after the other. Not
+/// Packs feed updates for other nodes. Caches deflated records, because
+/// downstream nodes request the same updates one after another. Not
 /// thread-safe.
 class FeedPacker {
 public:
-  /// \p Page, which goes on from \p From, its times turned into ages at
-  /// \p Now; without its records where they are more than \p Most even when
-  /// deflated. Few are sent as they are: that is not worth the processor's
-  /// time.
+  /// Packs \p Page, which starts at \p From, with times converted to ages at
+  /// \p Now. Omits the records if they exceed \p MaxBytes when deflated. Small
+  /// pages are not deflated.
   std::unique_ptr<wire::FeedNewsT> pack(const KeyedPage &Page,
                                         StorePosition From, TimePoint Now,
-                                        std::size_t Most = MaxUpdateBytes);
+                                        std::size_t MaxBytes = MaxUpdateBytes);
 
 private:
-  /// Nodes that ask this one are a few parts apart, where much has changed.
-  static constexpr std::size_t MostKept = 4;
-  struct Packed {
+  /// Downstream nodes may be a few parts apart.
+  static constexpr std::size_t MaxCached = 4;
+  struct CachedRecords {
     StorePosition From;
     StorePosition Next;
     bool IsSnapshot = false;
@@ -98,11 +91,11 @@
   };
   const std::vector<std::uint8_t> &deflated(const KeyedPage &Page,
                                             StorePosition From);
-  std::deque<Packed> Kept;
+  std::deque<CachedRecords> Cache;
 };
-/// The same back; ages count from \p SentAt, when the question left, and what
-/// is still to come from \p Now.
-/// Errors: BadRequest where its records are damaged.
+/// Unpacks a feed update. Ages are subtracted from \p SentAt, the time when the
+/// request was sent, and RetainUntil is relative to \p Now. Errors: BadRequest
+/// if the records are damaged.
 absl::StatusOr<KeyedPage> unpackFeed(const wire::FeedNewsT &News,
                                      TimePoint SentAt, TimePoint Now);
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -171,7 +171,7 @@
         "feed cache: told that the store"),
     "large-left-out": (
         "src/wire/news_frames.cpp",
-        "News->left_out = Deflated.size() > Most;", "News->left_out = false;",
+        "News->left_out = Deflated.size() > MaxBytes;", "News->left_out = false;",
         "news: a record is large"),
     "same-member": (
         "platform/store.cpp",
