--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -9,8 +9,8 @@
 
 namespace waycove {
 
-/// Runs the benchmark \p Name, or, where it is empty, fixed inputs through the
-/// decision code, whose signature is printed. False if there is no such name.
+/// Runs the benchmark \p Name, or prints the decision signature if it is empty.
+/// Returns false if there is no such benchmark.
 bool runBench(const std::string &Name, std::ostream &Out);
 
 } // namespace waycove
--- a/src/bench/experiments.h
+++ b/src/bench/experiments.h
@@ -9,26 +9,27 @@
 
 namespace waycove {
 
-/// Fixed inputs through the decision code, as one number.
+/// Runs the decision code on fixed inputs and returns a hash of its decisions.
 std::uint64_t decisionSignature();
 
-// Each prints its figures as a table. All but the slopes are in virtual time
-// and print the same on every run.
+// Each benchmark prints its results as a table. All except runSlopes() use
+// virtual time and fixed seeds, so their output is reproducible.
 
-/// One greedy and nine modest workspaces: first come first served against the
-/// fair queue.
+/// Compares FIFO order with the fair queue for one greedy and nine modest
+/// workspaces.
 void runFairness(std::ostream &Out);
-/// Twice the load that the replicas can carry: answers within the deadline.
+/// Compares load balancing policies at twice the capacity of the replicas.
 void runOverload(std::ostream &Out);
-/// A tenth of the targets fails: attempts a request.
+/// Compares retry policies by attempts per request when targets fail.
 void runRetries(std::ostream &Out);
-/// Sessions of many turns through many daemons: share of prefixes found.
+/// Compares session affinity policies by prefix cache hits.
 void runPrefix(std::ostream &Out);
-/// Admission by free KV cache against a fixed number of slots.
+/// Compares admission by free KV cache with a fixed number of slots.
 void runKv(std::ostream &Out);
-/// Group downtime and stranded accelerators over a script of failures.
+/// Compares repair policies by group downtime and stranded VMs in a fixed
+/// sequence of failures.
 void runRepair(std::ostream &Out);
-/// Time and bytes of decisions against the sizes of tables.
+/// Measures time and memory of operations for growing table sizes.
 void runSlopes(std::ostream &Out);
 
 } // namespace waycove
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -11,59 +11,59 @@
 
 namespace waycove {
 
-/// One request in virtual time.
+/// A request to a ModelReplica, in virtual time.
 struct ModelJob {
   std::uint64_t Id = 0;
   std::size_t Workspace = 0;
   std::uint64_t Session = 0;
   TimePoint Arrived;
   TimePoint Deadline;
-  std::uint64_t Prompt = 0;
-  std::uint64_t Tokens = 0;
-  // ---- As it goes. ----
-  std::uint64_t Made = 0;
-  double Credit = 0;
+  std::uint64_t PromptTokens = 0;
+  std::uint64_t OutputTokens = 0;
+  // ---- Progress. ----
+  std::uint64_t Generated = 0;
+  /// Fractional tokens not yet generated; negative during prompt processing.
+  double TokenCredit = 0;
   std::optional<TimePoint> FirstToken;
   std::optional<TimePoint> Finished;
 };
 
-/// How a replica of the model works: it batches up to Slots requests, shares
-/// its rate of tokens among them, and spends time on prompts that it has not
-/// cached. A batch whose contexts outgrow the cache loses its youngest member,
-/// which starts again.
-struct ReplicaShape {
+/// Parameters of a replica: it batches up to Slots requests, divides its token
+/// rate evenly among them, and spends time on processing prompts. If their
+/// contexts exceed the KV cache, the request admitted last is preempted.
+struct ReplicaParams {
   std::size_t Slots = 8;
   double TokensPerSecond = 400;
-  double MostPerRequest = 80;
-  double PromptPerSecond = 8000;
+  /// Maximum token rate of a single request.
+  double MaxRequestRate = 80;
+  double PromptTokensPerSecond = 8000;
   std::uint64_t KvTokens = UINT64_MAX;
 };
 
-/// A replica in virtual time; a small stand-in for what waycove serves, not a
-/// simulator of it.
+/// A simplified model replica in virtual time.
 class ModelReplica {
 public:
-  explicit ModelReplica(ReplicaShape Shape) : Shape(Shape) {}
+  explicit ModelReplica(ReplicaParams Params) : Params(Params) {}
   void push(const ModelJob &Job) { this->Queue.push_back(Job); }
-  /// Works for \p Step; returns the jobs that finished.
-  std::vector<ModelJob> work(TimePoint Now, Millis Step);
+  /// Advances the replica by \p Step; returns the finished jobs.
+  std::vector<ModelJob> advance(TimePoint Now, Millis Step);
   std::size_t load() const { return this->Queue.size() + this->Running.size(); }
   std::size_t running() const { return this->Running.size(); }
-  /// Tokens of context held by running requests.
-  std::uint64_t context() const;
-  std::uint64_t preemptions() const { return this->Preempted; }
+  /// Returns the number of context tokens of all running requests.
+  std::uint64_t contextTokens() const;
+  std::uint64_t preemptions() const { return this->Preemptions; }
 
 private:
   void admit();
   void preempt();
 
-  ReplicaShape Shape;
+  ReplicaParams Params;
   std::vector<ModelJob> Queue;
   std::vector<ModelJob> Running;
-  std::uint64_t Preempted = 0;
+  std::uint64_t Preemptions = 0;
 };
 
-/// The value below which \p Share of \p Values lie; zero for none.
-double quantile(std::vector<double> Values, double Share);
+/// Returns the \p Fraction quantile of \p Values; zero if there are none.
+double quantile(std::vector<double> Values, double Fraction);
 
 } // namespace waycove
--- a/src/bench/signature.cpp
+++ b/src/bench/signature.cpp
@@ -20,17 +20,17 @@
 
 constexpr std::uint64_t Seed = 20261202;
 
-/// Collects the decisions of a run into one number.
+/// Combines the decisions of a run into one hash.
 class Signature {
 public:
-  void add(std::uint64_t Value) { this->Sum = mixHash(this->Sum, Value); }
-  std::uint64_t value() const { return this->Sum; }
+  void add(std::uint64_t Value) { this->Hash = mixHash(this->Hash, Value); }
+  std::uint64_t value() const { return this->Hash; }
 
 private:
-  std::uint64_t Sum = 1;
+  std::uint64_t Hash = 1;
 };
 
-void signRouting(Signature &Sum) {
+void signRouting(Signature &Result) {
   RouteView View;
   for (std::uint64_t I = 0; I < 200; ++I) {
     RouteTarget Row;
@@ -50,17 +50,17 @@
     RouteQuery Query{Gold, I % 2 ? Random() | 1 : 0, Random(), {}, Now};
     const RouteTarget *Found =
         pickTarget(View, Load, Query, [](const RouteTarget &) { return true; });
-    Sum.add(Found ? hashText(Found->Head.Text) : 0);
+    Result.add(Found ? hashText(Found->Head.Text) : 0);
     if (!Found)
       continue;
     Load.onStart(Found->Key);
     if (I % 5 != 0)
       Load.onEnd(Found->Key, I % 7 == 0, Now);
-    Sum.add(Load.ejectIfFailing(Found->Key, View.Targets.size(), Now));
+    Result.add(Load.ejectIfFailing(Found->Key, View.Targets.size(), Now));
   }
 }
 
-void signAdmission(Signature &Sum) {
+void signAdmission(Signature &Result) {
   FairQueue Queue(FairLimits{4, 32, 128});
   std::mt19937_64 Random(Seed);
   TimePoint Now{Millis(1000)};
@@ -72,23 +72,23 @@
                     Now + Millis(50 + Random() % 3000),
                     static_cast<unsigned>(Random() % 3)};
     auto Ticket = Queue.offer(Offer, Now);
-    Sum.add(Ticket.ok() ? Ticket->Value
-                        : static_cast<std::uint64_t>(
-                              retryAfterOf(Ticket.status()).count()));
+    Result.add(Ticket.ok() ? Ticket->Value
+                           : static_cast<std::uint64_t>(
+                                 retryAfterOf(Ticket.status()).count()));
     while (auto Next = Queue.take(Now)) {
-      Sum.add(Next->Value);
+      Result.add(Next->Value);
       Running.push_back(*Next);
     }
     if (!Running.empty() && Random() % 2) {
       Queue.finish(Running.front(), Tokens(Random() % 300), Now);
       Running.erase(Running.begin());
     }
-    for (TicketId Gone : Queue.expire(Now))
-      Sum.add(Gone.Value);
+    for (TicketId Expired : Queue.expire(Now))
+      Result.add(Expired.Value);
   }
 }
 
-void signPlanning(Signature &Sum) {
+void signPlanning(Signature &Result) {
   std::mt19937_64 Random(Seed);
   Deployment Spec;
   Spec.VmsPerReplica = 4;
@@ -100,22 +100,22 @@
                       DomainId("d" + std::to_string(I / 10)), Random() % 5 != 0,
                       Random() % 9, Fence(I < 4 ? 7 : 0)});
     PlanPool Pool(Rows);
-    Group Present{Fence(7), {}, DomainId("d0"), {}};
+    Group Current{Fence(7), {}, DomainId("d0"), {}};
     for (int I = 0; I < 4; ++I)
-      Present.Vms.push_back(Rows[static_cast<std::size_t>(I)].Vm);
+      Current.Vms.push_back(Rows[static_cast<std::size_t>(I)].Vm);
     for (std::uint64_t I = 0; I < 5; ++I) {
-      SlotKey Place{DeploymentId("m"), DataCentreId("a"), Slot(I)};
-      auto Plan = planSlot(Place, Spec, I == 0 ? &Present : nullptr, Pool,
+      SlotKey Key{DeploymentId("m"), DataCentreId("a"), Slot(I)};
+      auto Plan = planSlot(Key, Spec, I == 0 ? &Current : nullptr, Pool,
                            RepairPolicy::KeepMembers);
-      Sum.add(Plan ? hashText(Plan->Domain.Text) : 0);
+      Result.add(Plan ? hashText(Plan->Domain.Text) : 0);
       if (Plan)
         for (const PlanVm &Row : Plan->Vms)
-          Sum.add(hashText(Row.Vm.Text));
+          Result.add(hashText(Row.Vm.Text));
     }
   }
 }
 
-void signMembership(Signature &Sum) {
+void signMembership(Signature &Result) {
   std::vector<Member> Live;
   Live.reserve(120);
   for (std::uint64_t I = 1; I <= 120; ++I)
@@ -123,16 +123,16 @@
                     DataCentreId("dc-" + std::to_string(I % 6))});
   for (const Member &Row : Live)
     for (NodeHash Node : chooseLinks(Row.Node, Live))
-      Sum.add(Node.Value);
+      Result.add(Node.Value);
   std::vector<NodeHash> Nodes;
   Nodes.reserve(Live.size());
   for (const Member &Row : Live)
     Nodes.push_back(Row.Node);
   for (std::uint64_t Key = 0; Key < 1000; ++Key)
-    Sum.add(rendezvousOwner(Nodes, Key).Value);
+    Result.add(rendezvousOwner(Nodes, Key).Value);
 }
 
-void signRetries(Signature &Sum) {
+void signRetries(Signature &Result) {
   RetryBudget Budget;
   std::mt19937_64 Random(Seed);
   for (int I = 0; I < 2000; ++I) {
@@ -144,12 +144,12 @@
         Random() % 2 == 0, static_cast<unsigned>(Random() % 5),
         Random() % 8 == 0, Random() % 4 == 0};
     RetryDecision Next = decideRetry(Facts, Budget);
-    Sum.add(static_cast<std::uint64_t>(Next.Choice) * 100 +
-            static_cast<std::uint64_t>(Next.Kind));
+    Result.add(static_cast<std::uint64_t>(Next.Choice) * 100 +
+               static_cast<std::uint64_t>(Next.Kind));
   }
 }
 
-void signFold(Signature &Sum) {
+void signFold(Signature &Result) {
   FoldState State;
   std::mt19937_64 Random(Seed);
   for (std::uint64_t I = 0; I < 500; ++I) {
@@ -177,22 +177,22 @@
       Record.change.Set(std::move(Change));
     }
     FoldOutcome Outcome = State.fold(Offset(I), packRecord(Record));
-    Sum.add(Outcome.Accepted);
+    Result.add(Outcome.Accepted);
   }
-  Sum.add(State.digest());
+  Result.add(State.digest());
 }
 
 } // namespace
 
 std::uint64_t decisionSignature() {
-  Signature Sum;
-  signRouting(Sum);
-  signAdmission(Sum);
-  signPlanning(Sum);
-  signMembership(Sum);
-  signRetries(Sum);
-  signFold(Sum);
-  return Sum.value() % 100'000'000;
+  Signature Result;
+  signRouting(Result);
+  signAdmission(Result);
+  signPlanning(Result);
+  signMembership(Result);
+  signRetries(Result);
+  signFold(Result);
+  return Result.value() % 100'000'000;
 }
 
 } // namespace waycove
--- a/src/bench/traffic.cpp
+++ b/src/bench/traffic.cpp
@@ -23,11 +23,11 @@
 constexpr Millis Step(5);
 constexpr TimePoint Start{std::chrono::seconds(1000)};
 
-double secondsOf(std::chrono::nanoseconds Time) {
-  return std::chrono::duration<double>(Time).count();
+double secondsOf(std::chrono::nanoseconds Duration) {
+  return std::chrono::duration<double>(Duration).count();
 }
 
-/// A view of \p Count targets; each one's number is its group and its name.
+/// Returns a view of \p Count targets whose index is both group and name.
 RouteView viewOf(std::size_t Count) {
   RouteView View;
   for (std::size_t I = 0; I < Count; ++I) {
@@ -43,7 +43,7 @@
 
 // ---- Fairness. ----
 
-struct FairFigures {
+struct FairResult {
   double WorstShare = 0;
   double FirstTokenP95 = 0;
   double GreedyShare = 0;
@@ -53,8 +53,8 @@
 constexpr std::size_t Workspaces = 10;
 constexpr int FairSeconds = 60;
 
-/// Arrivals of one step: the first workspace sends ten times what each of the
-/// others does, and longer requests.
+/// Returns the requests that arrive in one step. The first workspace sends ten
+/// times as many as each of the others, and twice as long ones.
 std::vector<ModelJob> fairArrivals(std::mt19937_64 &Random, TimePoint Now,
                                    std::uint64_t &NextId) {
   std::vector<ModelJob> Jobs;
@@ -68,41 +68,41 @@
     Job.Workspace = W;
     Job.Arrived = Now;
     Job.Deadline = Now + Millis(20000);
-    Job.Prompt = 200;
-    Job.Tokens = W == 0 ? 80 : 40;
+    Job.PromptTokens = 200;
+    Job.OutputTokens = W == 0 ? 80 : 40;
     Jobs.push_back(Job);
   }
   return Jobs;
 }
 
-FairFigures fairnessOf(bool Fair) {
+FairResult simulateFairness(bool Fair) {
   std::mt19937_64 Random(Seed);
-  ReplicaShape Shape;
-  ModelReplica Replica(Shape);
-  FairQueue Queue(FairLimits{Shape.Slots, 64, 512});
+  ReplicaParams Params;
+  ModelReplica Replica(Params);
+  FairQueue Queue(FairLimits{Params.Slots, 64, 512});
   std::vector<std::pair<TicketId, ModelJob>> Waiting;
   std::vector<std::pair<std::uint64_t, TicketId>> Tickets;
   std::array<double, Workspaces> Served{};
-  std::array<double, Workspaces> Asked{};
-  std::array<std::vector<double>, Workspaces> First;
-  FairFigures Figures;
+  std::array<double, Workspaces> Requested{};
+  std::array<std::vector<double>, Workspaces> FirstTokens;
+  FairResult Result;
   std::uint64_t NextId = 0;
   for (TimePoint Now = Start; Now < Start + std::chrono::seconds(FairSeconds);
        Now += Step) {
     for (ModelJob &Job : fairArrivals(Random, Now, NextId)) {
-      Asked[Job.Workspace] += static_cast<double>(Job.Tokens);
+      Requested[Job.Workspace] += static_cast<double>(Job.OutputTokens);
       if (!Fair) {
         Replica.push(Job);
         continue;
       }
-      auto Ticket =
-          Queue.offer({WorkspaceId("w" + std::to_string(Job.Workspace)), 1,
-                       Tokens(Job.Tokens + Job.Prompt / 4), Job.Deadline, 0},
-                      Now);
+      auto Ticket = Queue.offer(
+          {WorkspaceId("w" + std::to_string(Job.Workspace)), 1,
+           Tokens(Job.OutputTokens + Job.PromptTokens / 4), Job.Deadline, 0},
+          Now);
       if (Ticket.ok())
         Waiting.emplace_back(*Ticket, Job);
       else
-        ++Figures.Refused;
+        ++Result.Refused;
     }
     while (auto Next = Queue.take(Now))
       for (auto At = Waiting.begin(); At != Waiting.end(); ++At)
@@ -112,29 +112,31 @@
           Waiting.erase(At);
           break;
         }
-    for (const ModelJob &Job : Replica.work(Now, Step)) {
-      Served[Job.Workspace] += static_cast<double>(Job.Tokens);
-      First[Job.Workspace].push_back(secondsOf(*Job.FirstToken - Job.Arrived));
+    for (const ModelJob &Job : Replica.advance(Now, Step)) {
+      Served[Job.Workspace] += static_cast<double>(Job.OutputTokens);
+      FirstTokens[Job.Workspace].push_back(
+          secondsOf(*Job.FirstToken - Job.Arrived));
       for (const auto &[Id, Ticket] : Tickets)
         if (Id == Job.Id)
-          Queue.finish(Ticket, Tokens(Job.Tokens + Job.Prompt / 4), Now);
+          Queue.finish(Ticket, Tokens(Job.OutputTokens + Job.PromptTokens / 4),
+                       Now);
     }
   }
-  Figures.WorstShare = 1;
+  Result.WorstShare = 1;
   for (std::size_t W = 1; W < Workspaces; ++W) {
-    Figures.WorstShare = std::min(Figures.WorstShare, Served[W] / Asked[W]);
-    Figures.FirstTokenP95 =
-        std::max(Figures.FirstTokenP95, quantile(First[W], 0.95));
+    Result.WorstShare = std::min(Result.WorstShare, Served[W] / Requested[W]);
+    Result.FirstTokenP95 =
+        std::max(Result.FirstTokenP95, quantile(FirstTokens[W], 0.95));
   }
-  Figures.GreedyShare = Served[0] / Asked[0];
-  return Figures;
+  Result.GreedyShare = Served[0] / Requested[0];
+  return Result;
 }
 
 // ---- Overload. ----
 
 enum class Balance { RoundRobin, LeastLoaded, Waycove };
 
-struct OverloadFigures {
+struct OverloadResult {
   double Goodput = 0;
   double WastedShare = 0;
   double FirstTokenP95 = 0;
@@ -145,32 +147,32 @@
 constexpr std::size_t Replicas = 20;
 constexpr int OverloadSeconds = 60;
 
-OverloadFigures overloadOf(Balance Policy) {
+OverloadResult simulateOverload(Balance Policy) {
   std::mt19937_64 Random(Seed);
-  ReplicaShape Shape;
-  std::vector<ModelReplica> Models(Replicas, ModelReplica(Shape));
+  ReplicaParams Params;
+  std::vector<ModelReplica> Models(Replicas, ModelReplica(Params));
   std::vector<std::size_t> Reported(Replicas, 0);
   RouteView View = viewOf(Replicas);
-  View.SlotsPerReplica = Shape.Slots;
+  View.SlotsPerReplica = Params.Slots;
   LoadTable Load;
-  FairQueue Queue(FairLimits{Shape.Slots * Replicas, 4096, 4096});
+  FairQueue Queue(FairLimits{Params.Slots * Replicas, 4096, 4096});
   std::list<std::pair<TicketId, ModelJob>> Waiting;
   std::unordered_map<std::uint64_t, TicketId> Tickets;
-  double Capacity = Shape.TokensPerSecond * Replicas;
-  double PerStep = 2 * Capacity / 60 * secondsOf(Step);
-  OverloadFigures Figures;
-  std::vector<double> First;
-  std::size_t Came = 0;
+  double Capacity = Params.TokensPerSecond * Replicas;
+  double ArrivalsPerStep = 2 * Capacity / 60 * secondsOf(Step);
+  OverloadResult Result;
+  std::vector<double> FirstTokens;
+  std::size_t Arrived = 0;
   std::size_t Refused = 0;
-  double Good = 0;
-  double Made = 0;
-  double Credit = 0;
-  std::size_t Turn = 0;
+  double InTime = 0;
+  double Completed = 0;
+  double PendingArrivals = 0;
+  std::size_t NextReplica = 0;
   std::uint64_t NextId = 0;
   auto Send = [&](const ModelJob &Job, TimePoint Now) {
     std::size_t To = 0;
     if (Policy == Balance::RoundRobin) {
-      To = Turn++ % Replicas;
+      To = NextReplica++ % Replicas;
     } else if (Policy == Balance::LeastLoaded) {
       To = static_cast<std::size_t>(
           std::min_element(Reported.begin(), Reported.end()) -
@@ -186,41 +188,42 @@
   };
   for (TimePoint Now = Start;
        Now < Start + std::chrono::seconds(OverloadSeconds); Now += Step) {
-    // Reports lag by half a second.
+    // Load reports are updated every 500 ms.
     if ((Now - Start) % Millis(500) == Millis(0))
       for (std::size_t I = 0; I < Replicas; ++I)
         Reported[I] = Models[I].load();
-    for (Credit += PerStep; Credit >= 1; Credit -= 1) {
+    for (PendingArrivals += ArrivalsPerStep; PendingArrivals >= 1;
+         PendingArrivals -= 1) {
       ModelJob Job;
       Job.Id = ++NextId;
       Job.Arrived = Now;
       Job.Deadline = Now + Millis(4000);
-      Job.Prompt = 200;
-      Job.Tokens = 20 + Random() % 80;
-      ++Came;
+      Job.PromptTokens = 200;
+      Job.OutputTokens = 20 + Random() % 80;
+      ++Arrived;
       if (Policy != Balance::Waycove) {
         Send(Job, Now);
         continue;
       }
       auto Ticket = Queue.offer(
           {WorkspaceId("w" + std::to_string(Random() % 10)), 1,
-           Tokens(Job.Tokens + Job.Prompt / 4),
-           // Room is needed for the answer itself.
+           Tokens(Job.OutputTokens + Job.PromptTokens / 4),
+           // Leaves time for generating the response.
            Job.Deadline -
-               Millis(1000 * Job.Tokens /
-                      static_cast<std::uint64_t>(Shape.TokensPerSecond / 8)),
+               Millis(1000 * Job.OutputTokens /
+                      static_cast<std::uint64_t>(Params.TokensPerSecond / 8)),
            0},
           Now);
       if (Ticket.ok()) {
         Waiting.emplace_back(*Ticket, Job);
       } else {
         ++Refused;
-        Figures.RefusalWait += secondsOf(retryAfterOf(Ticket.status()));
+        Result.RefusalWait += secondsOf(retryAfterOf(Ticket.status()));
       }
     }
-    for (TicketId Gone : Queue.expire(Now)) {
+    for (TicketId Expired : Queue.expire(Now)) {
       std::erase_if(Waiting,
-                    [&](const auto &Row) { return Row.first == Gone; });
+                    [&](const auto &Row) { return Row.first == Expired; });
       ++Refused;
     }
     while (auto Next = Queue.take(Now)) {
@@ -231,29 +234,29 @@
       Waiting.erase(At);
     }
     for (std::size_t I = 0; I < Replicas; ++I)
-      for (const ModelJob &Job : Models[I].work(Now, Step)) {
-        Made += 1;
-        First.push_back(secondsOf(*Job.FirstToken - Job.Arrived));
-        Good += *Job.Finished <= Job.Deadline ? 1 : 0;
+      for (const ModelJob &Job : Models[I].advance(Now, Step)) {
+        Completed += 1;
+        FirstTokens.push_back(secondsOf(*Job.FirstToken - Job.Arrived));
+        InTime += *Job.Finished <= Job.Deadline ? 1 : 0;
         if (Policy == Balance::Waycove) {
           Load.onEnd(hashVm(VmId(std::to_string(I))), false, Now);
-          Queue.finish(Tickets[Job.Id], Tokens(Job.Tokens + Job.Prompt / 4),
-                       Now);
+          Queue.finish(Tickets[Job.Id],
+                       Tokens(Job.OutputTokens + Job.PromptTokens / 4), Now);
         }
       }
   }
-  Figures.Goodput = Good / OverloadSeconds;
-  Figures.WastedShare = Made > 0 ? 1 - Good / Made : 0;
-  Figures.FirstTokenP95 = quantile(First, 0.95);
-  Figures.RefusedShare =
-      static_cast<double>(Refused) / static_cast<double>(Came);
-  Figures.RefusalWait /= std::max<double>(1, static_cast<double>(Refused));
-  return Figures;
+  Result.Goodput = InTime / OverloadSeconds;
+  Result.WastedShare = Completed > 0 ? 1 - InTime / Completed : 0;
+  Result.FirstTokenP95 = quantile(FirstTokens, 0.95);
+  Result.RefusedShare =
+      static_cast<double>(Refused) / static_cast<double>(Arrived);
+  Result.RefusalWait /= std::max<double>(1, static_cast<double>(Refused));
+  return Result;
 }
 
 // ---- Retries. ----
 
-struct RetryFigures {
+struct RetryResult {
   double AttemptsPerRequest = 0;
   double FailedShare = 0;
 };
@@ -261,9 +264,9 @@
 constexpr std::size_t RetryTargets = 50;
 constexpr int RetryRequests = 20000;
 
-/// \p Budgeted is waycove; else every failure is tried again up to three
-/// times, anywhere. \p FailingShare of the targets fail.
-RetryFigures retriesOf(bool Budgeted, double FailingShare) {
+/// Uses the retry policy of waycove if \p Budgeted, or else up to three retries
+/// on any target. \p FailingShare is the fraction of targets that fail.
+RetryResult simulateRetries(bool Budgeted, double FailingShare) {
   std::mt19937_64 Random(Seed);
   RouteView View = viewOf(RetryTargets);
   auto Fails = [&](const VmId &Vm) {
@@ -272,7 +275,7 @@
   };
   LoadTable Load;
   RetryBudget Budget;
-  RetryFigures Figures;
+  RetryResult Result;
   TimePoint Now = Start;
   for (int I = 0; I < RetryRequests; ++I) {
     Now += Millis(5);
@@ -283,9 +286,9 @@
       ++Attempts;
       RouteQuery Query{Selector(), 0, Random(),
                        Budgeted ? Avoid : std::vector<VmId>(), Now};
-      LoadTable Blind;
+      LoadTable EmptyLoad;
       const RouteTarget *Found =
-          pickTarget(View, Budgeted ? Load : Blind, Query,
+          pickTarget(View, Budgeted ? Load : EmptyLoad, Query,
                      [](const RouteTarget &) { return true; });
       bool Failed = !Found || Fails(Found->Head);
       if (Found) {
@@ -296,19 +299,19 @@
       }
       if (!Failed)
         break;
-      bool Again = Attempts < 4;
+      bool Retry = Attempts < 4;
       if (Budgeted)
-        Again = decideRetry({AttemptEnd::Broken, true, Attempts, false, false},
+        Retry = decideRetry({AttemptEnd::Broken, true, Attempts, false, false},
                             Budget)
                     .Choice == RetryChoice::Again;
-      if (Again)
+      if (Retry)
         continue;
-      Figures.FailedShare += 1.0 / RetryRequests;
+      Result.FailedShare += 1.0 / RetryRequests;
       break;
     }
-    Figures.AttemptsPerRequest += static_cast<double>(Attempts) / RetryRequests;
+    Result.AttemptsPerRequest += static_cast<double>(Attempts) / RetryRequests;
   }
-  return Figures;
+  return Result;
 }
 
 // ---- Prefix cache. ----
@@ -321,14 +324,14 @@
 constexpr std::size_t Sessions = 2000;
 constexpr int PrefixTurns = 40000;
 
-struct PrefixFigures {
+struct PrefixResult {
   double HitShare = 0;
   double LoadSpread = 0;
 };
 
-/// \p Learned: each node keeps what cache events told it, of which a fifth is
-/// lost. \p Ring: what waycove does.
-PrefixFigures prefixOf(Affinity Policy) {
+/// Learned affinity uses cache events, a fifth of which are lost. Ring is the
+/// policy of waycove.
+PrefixResult simulatePrefixCache(Affinity Policy) {
   std::mt19937_64 Random(Seed);
   RouteView View = viewOf(PrefixReplicas);
   std::vector<LoadTable> Loads(PrefixNodes);
@@ -338,7 +341,7 @@
   std::vector<double> Served(PrefixReplicas, 0);
   std::list<std::pair<std::size_t, VmId>> InFlight;
   double Hits = 0;
-  double Later = 0;
+  double RepeatedTurns = 0;
   std::vector<bool> Seen(Sessions, false);
   TimePoint Now = Start;
   for (int I = 0; I < PrefixTurns; ++I) {
@@ -369,7 +372,7 @@
     auto &Cache = Caches[To];
     auto Hit = std::find(Cache.begin(), Cache.end(), Session);
     if (Seen[Session]) {
-      Later += 1;
+      RepeatedTurns += 1;
       Hits += Hit != Cache.end() ? 1 : 0;
     }
     Seen[Session] = true;
@@ -382,13 +385,14 @@
       if (Random() % 5 != 0)
         Known[N][Session] = To;
   }
-  return {Hits / Later, *std::max_element(Served.begin(), Served.end()) *
-                            PrefixReplicas / PrefixTurns};
+  return {Hits / RepeatedTurns,
+          *std::max_element(Served.begin(), Served.end()) * PrefixReplicas /
+              PrefixTurns};
 }
 
 // ---- KV cache. ----
 
-struct KvFigures {
+struct KvResult {
   double Goodput = 0;
   double FirstTokenP95 = 0;
   std::uint64_t Preemptions = 0;
@@ -397,56 +401,59 @@
 constexpr std::uint64_t KvTokens = 20000;
 constexpr int KvSeconds = 120;
 
-/// \p Slots requests at once; with \p Headroom above zero, no request is let
-/// in that would bring the contexts' expected size over that share of the
-/// cache.
-KvFigures kvOf(std::size_t Slots, double Headroom, std::uint64_t LongPrompt) {
+/// Runs up to \p Slots concurrent requests. If \p Headroom is positive, a
+/// request is admitted only if the expected context size stays within that
+/// fraction of the cache.
+KvResult simulateKvCache(std::size_t Slots, double Headroom,
+                         std::uint64_t LongPrompt) {
   std::mt19937_64 Random(Seed);
-  ReplicaShape Shape;
-  Shape.Slots = 64;
-  Shape.TokensPerSecond = 1600;
-  Shape.KvTokens = KvTokens;
-  ModelReplica Replica(Shape);
+  ReplicaParams Params;
+  Params.Slots = 64;
+  Params.TokensPerSecond = 1600;
+  Params.KvTokens = KvTokens;
+  ModelReplica Replica(Params);
   std::list<ModelJob> Waiting;
-  KvFigures Figures;
-  std::vector<double> First;
-  std::vector<ModelJob> Inside;
-  double Credit = 0;
+  KvResult Result;
+  std::vector<double> FirstTokens;
+  std::vector<ModelJob> Admitted;
+  double PendingArrivals = 0;
   for (TimePoint Now = Start; Now < Start + std::chrono::seconds(KvSeconds);
        Now += Step) {
-    for (Credit += 11 * secondsOf(Step); Credit >= 1; Credit -= 1) {
+    for (PendingArrivals += 11 * secondsOf(Step); PendingArrivals >= 1;
+         PendingArrivals -= 1) {
       ModelJob Job;
       Job.Id = Random();
       Job.Arrived = Now;
       Job.Deadline = Now + Millis(10000);
-      Job.Prompt = Random() % 4 == 0 ? LongPrompt : 200;
-      Job.Tokens = 50 + Random() % 150;
+      Job.PromptTokens = Random() % 4 == 0 ? LongPrompt : 200;
+      Job.OutputTokens = 50 + Random() % 150;
       Waiting.push_back(Job);
     }
     std::erase_if(Waiting, [&](const ModelJob &Row) {
       return Now + Millis(2000) > Row.Deadline;
     });
-    while (!Waiting.empty() && Inside.size() < Slots) {
-      std::uint64_t Expected = Waiting.front().Prompt + Waiting.front().Tokens;
-      for (const ModelJob &Row : Inside)
-        Expected += Row.Prompt + Row.Tokens;
-      if (Headroom > 0 && !Inside.empty() &&
+    while (!Waiting.empty() && Admitted.size() < Slots) {
+      std::uint64_t Expected =
+          Waiting.front().PromptTokens + Waiting.front().OutputTokens;
+      for (const ModelJob &Row : Admitted)
+        Expected += Row.PromptTokens + Row.OutputTokens;
+      if (Headroom > 0 && !Admitted.empty() &&
           static_cast<double>(Expected) > Headroom * KvTokens)
         break;
-      Inside.push_back(Waiting.front());
+      Admitted.push_back(Waiting.front());
       Replica.push(Waiting.front());
       Waiting.pop_front();
     }
-    for (const ModelJob &Job : Replica.work(Now, Step)) {
-      std::erase_if(Inside,
+    for (const ModelJob &Job : Replica.advance(Now, Step)) {
+      std::erase_if(Admitted,
                     [&](const ModelJob &Row) { return Row.Id == Job.Id; });
-      First.push_back(secondsOf(*Job.FirstToken - Job.Arrived));
-      Figures.Goodput += *Job.Finished <= Job.Deadline ? 1.0 / KvSeconds : 0;
+      FirstTokens.push_back(secondsOf(*Job.FirstToken - Job.Arrived));
+      Result.Goodput += *Job.Finished <= Job.Deadline ? 1.0 / KvSeconds : 0;
     }
   }
-  Figures.FirstTokenP95 = quantile(First, 0.95);
-  Figures.Preemptions = Replica.preemptions();
-  return Figures;
+  Result.FirstTokenP95 = quantile(FirstTokens, 0.95);
+  Result.Preemptions = Replica.preemptions();
+  return Result;
 }
 
 } // namespace
@@ -458,7 +465,7 @@
       << "queue             worst modest share  its first token p95 s  greedy "
          "share  refused\n";
   for (bool Fair : {false, true}) {
-    FairFigures Row = fairnessOf(Fair);
+    FairResult Row = simulateFairness(Fair);
     Out << (Fair ? "fair (waycove)    " : "first come        ") << std::setw(18)
         << Row.WorstShare << std::setw(23) << Row.FirstTokenP95 << std::setw(14)
         << Row.GreedyShare << std::setw(9) << Row.Refused << "\n";
@@ -477,7 +484,7 @@
   for (const Row &Case : {Row{"round robin       ", Balance::RoundRobin},
                           Row{"least loaded      ", Balance::LeastLoaded},
                           Row{"waycove           ", Balance::Waycove}}) {
-    OverloadFigures F = overloadOf(Case.Policy);
+    OverloadResult F = simulateOverload(Case.Policy);
     Out << Case.Name << std::setw(9) << F.Goodput << std::setw(12)
         << F.WastedShare << std::setw(19) << F.FirstTokenP95 << std::setw(15)
         << F.RefusedShare << std::setw(16) << F.RefusalWait << "\n";
@@ -490,7 +497,7 @@
       << "failing  policy              attempts/request  failed share\n";
   for (double Failing : {0.1, 1.0})
     for (bool Budgeted : {false, true}) {
-      RetryFigures Row = retriesOf(Budgeted, Failing);
+      RetryResult Row = simulateRetries(Budgeted, Failing);
       Out << std::setw(7) << Failing
           << (Budgeted ? "  waycove         " : "  up to 3 retries ")
           << std::setw(18) << Row.AttemptsPerRequest << std::setw(14)
@@ -511,7 +518,7 @@
        {Row{"two choices, no affinity          ", Affinity::None},
         Row{"learned from events, a fifth lost ", Affinity::Learned},
         Row{"ring (waycove)                    ", Affinity::Ring}}) {
-    PrefixFigures F = prefixOf(Case.Policy);
+    PrefixResult F = simulatePrefixCache(Case.Policy);
     Out << Case.Name << std::setw(12) << F.HitShare << std::setw(14)
         << F.LoadSpread << "\n";
   }
@@ -533,7 +540,7 @@
                             Rule{"  64 slots           ", 64, 0},
                             Rule{"  64, cache to 80%   ", 64, 0.8},
                             Rule{"  64, cache to 100%  ", 64, 1.0}}) {
-      KvFigures F = kvOf(Row.Slots, Row.Headroom, Long);
+      KvResult F = simulateKvCache(Row.Slots, Row.Headroom, Long);
       Out << std::setw(11) << Long << Row.Name << std::setw(9) << F.Goodput
           << std::setw(19) << F.FirstTokenP95 << std::setw(13) << F.Preemptions
           << "\n";
--- a/src/main/commands.cpp
+++ b/src/main/commands.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr Millis ConnectWithin(2000);
-constexpr Millis CallWithin(15000);
+constexpr Millis ConnectTimeout(2000);
+constexpr Millis CallTimeout(15000);
 constexpr char DrainPrefix[] = "vm-";
 
-/// A connection to the daemon that the command line names.
+/// HTTP client of the daemon given on the command line.
 class Client {
 public:
   Client(const Endpoint &Server, std::string Key)
-      : Caller(Server, ConnectWithin, this->Unused,
+      : Caller(Server, ConnectTimeout, this->UnusedMetrics,
                {Counter::PlatformBytesIn, Counter::PlatformBytesOut}),
         Key(std::move(Key)) {}
 
@@ -37,11 +37,10 @@
                                  const std::string &Body = "") {
     HttpCall Call{Method, Path, Body, "", {}};
     Call.Headers.push_back({"Authorization", "Bearer " + this->Key});
-    return this->Caller.call(Call, CallWithin);
+    return this->Caller.call(Call, CallTimeout);
   }
 
-  /// The answer's JSON, with complaints on the error stream where there is
-  /// none.
+  /// Returns the JSON body of the response to a GET request.
   absl::StatusOr<JsonObject> json(const std::string &Path) {
     absl::StatusOr<HttpReply> Reply = this->call("GET", Path);
     if (!Reply.ok())
@@ -52,12 +51,12 @@
   }
 
 private:
-  Metrics Unused;
+  Metrics UnusedMetrics;
   HttpClient Caller;
   std::string Key;
 };
 
-Exit complain(const absl::Status &Status) {
+Exit reportError(const absl::Status &Status) {
   std::cerr << "waycove: " << messageOf(Status) << "\n";
   return kindOf(Status) == ErrorKind::Conflict ? Exit::Refused
                                                : Exit::Unreachable;
@@ -68,37 +67,37 @@
   return Exit::BadInput;
 }
 
-bool readFile(const std::string &Name, std::string &Into) {
+bool readFile(const std::string &Name, std::string &Out) {
   std::ifstream File(Name);
   if (!File)
     return false;
-  Into.assign(std::istreambuf_iterator<char>(File), {});
+  Out.assign(std::istreambuf_iterator<char>(File), {});
   return true;
 }
 
-/// All objects of the files after the command; BadInput with every mistake
-/// told where any file is wrong.
-Exit readObjects(const CommandLine &Line, std::vector<Object> &Into) {
-  if (Line.Words.size() < 2)
-    return usage(Line.Words[0] + " FILE...");
-  bool Good = true;
-  for (std::size_t I = 1; I < Line.Words.size(); ++I) {
+/// Reads the objects of all files given as arguments. Prints all validation
+/// errors and returns BadInput if any file is invalid.
+Exit readObjects(const CommandLine &Line, std::vector<Object> &Out) {
+  if (Line.Args.size() < 2)
+    return usage(Line.Args[0] + " FILE...");
+  bool Valid = true;
+  for (std::size_t I = 1; I < Line.Args.size(); ++I) {
     std::string Text;
-    if (!readFile(Line.Words[I], Text)) {
-      std::cerr << Line.Words[I] << ":1: file: expected a readable file\n";
-      Good = false;
+    if (!readFile(Line.Args[I], Text)) {
+      std::cerr << Line.Args[I] << ":1: file: expected a readable file\n";
+      Valid = false;
       continue;
     }
-    ValidationErrors Found;
-    for (Object &Row : parseObjects(Line.Words[I], Text, Found))
-      Into.push_back(std::move(Row));
-    std::cerr << Found.text();
-    Good &= Found.empty();
+    ValidationErrors Errors;
+    for (Object &Row : parseObjects(Line.Args[I], Text, Errors))
+      Out.push_back(std::move(Row));
+    std::cerr << Errors.text();
+    Valid &= Errors.empty();
   }
-  return Good ? Exit::Good : Exit::BadInput;
+  return Valid ? Exit::Success : Exit::BadInput;
 }
 
-/// One object as a daemon has it.
+/// The published state of an object; empty if it does not exist.
 struct Published {
   std::uint64_t Revision = 0;
   std::string Body;
@@ -118,7 +117,7 @@
   return Published{numberAt(Row, "revision"), textAt(Row, "body")};
 }
 
-/// Publishes one change and says what became of it.
+/// Publishes a change and prints its outcome.
 Exit publish(Client &Daemon, const ObjectKey &Key, std::uint64_t Base,
              const std::string &Body, bool Removed) {
   Poco::JSON::Object Change;
@@ -130,13 +129,14 @@
   absl::StatusOr<HttpReply> Reply =
       Daemon.call("POST", "/operator/v1/apply", dumpJson(Change));
   if (!Reply.ok())
-    return complain(Reply.status());
-  absl::StatusOr<JsonObject> Answer = parseJson(Reply->Body);
-  if (Reply->Status == 200 && Answer.ok()) {
-    std::cout << "accepted: " << textAt(*Answer, "reason") << "\n";
-    return Exit::Good;
+    return reportError(Reply.status());
+  absl::StatusOr<JsonObject> ResponseBody = parseJson(Reply->Body);
+  if (Reply->Status == 200 && ResponseBody.ok()) {
+    std::cout << "accepted: " << textAt(*ResponseBody, "reason") << "\n";
+    return Exit::Success;
   }
-  JsonObject Error = Answer.ok() ? (*Answer)->getObject("error") : nullptr;
+  JsonObject Error =
+      ResponseBody.ok() ? (*ResponseBody)->getObject("error") : nullptr;
   std::cerr << Key.text() << ": "
             << (Error.isNull()
                     ? Reply->Body
@@ -146,15 +146,15 @@
 }
 
 Exit applyOne(Client &Daemon, const CommandLine &Line, const Object &Row) {
-  absl::StatusOr<Published> Present = fetch(Daemon, Row.Key);
-  if (!Present.ok())
-    return complain(Present.status());
-  if (Line.Base < 0 && Present->Body == Row.Body) {
+  absl::StatusOr<Published> Current = fetch(Daemon, Row.Key);
+  if (!Current.ok())
+    return reportError(Current.status());
+  if (Line.Base < 0 && Current->Body == Row.Body) {
     std::cout << "unchanged: " << Row.Key.text() << "\n";
-    return Exit::Good;
+    return Exit::Success;
   }
   std::uint64_t Base =
-      Line.Base < 0 ? Present->Revision : static_cast<std::uint64_t>(Line.Base);
+      Line.Base < 0 ? Current->Revision : static_cast<std::uint64_t>(Line.Base);
   return publish(Daemon, Row.Key, Base, Row.Body, false);
 }
 
@@ -187,55 +187,54 @@
   return Table;
 }
 
-/// The daemons that the named one knows to live, itself among them.
+/// Returns the daemon given on the command line and the peers that it knows.
 std::vector<Endpoint> knownDaemons(const CommandLine &Line,
                                    const JsonObject &Status) {
   std::vector<Endpoint> Found{Line.Server};
   if (Poco::JSON::Array::Ptr Rows = Status->getArray("peers"); !Rows.isNull())
     for (unsigned I = 0; I < Rows->size(); ++I) {
-      Endpoint Where;
-      if (parseEndpoint(textAt(Rows->getObject(I), "http"), Where) &&
-          Where.text() != Line.Server.text())
-        Found.push_back(Where);
+      Endpoint Address;
+      if (parseEndpoint(textAt(Rows->getObject(I), "http"), Address) &&
+          Address.text() != Line.Server.text())
+        Found.push_back(Address);
     }
   return Found;
 }
 
-struct TimelineRow {
+struct TimelineEvent {
   std::uint64_t Clock = 0;
-  JsonObject Row;
+  JsonObject Fields;
 };
 
-void printTimeline(const std::vector<TimelineRow> &Rows,
-                   const std::string &Form) {
-  if (Form == "text") {
+void printTimeline(const std::vector<TimelineEvent> &Rows,
+                   const std::string &Format) {
+  if (Format == "text") {
     std::uint64_t First = Rows.empty() ? 0 : Rows.front().Clock >> 16;
-    for (const TimelineRow &Entry : Rows)
-      std::cout << "+" << ((Entry.Clock >> 16) - First) << "ms\t"
-                << textAt(Entry.Row, "node") << "\t"
-                << textAt(Entry.Row, "name") << "\t"
-                << textAt(Entry.Row, "subject") << "\t"
-                << textAt(Entry.Row, "detail") << "\n";
+    for (const TimelineEvent &Event : Rows)
+      std::cout << "+" << ((Event.Clock >> 16) - First) << "ms\t"
+                << textAt(Event.Fields, "node") << "\t"
+                << textAt(Event.Fields, "name") << "\t"
+                << textAt(Event.Fields, "subject") << "\t"
+                << textAt(Event.Fields, "detail") << "\n";
     return;
   }
   Poco::JSON::Array Out;
-  for (const TimelineRow &Entry : Rows) {
-    if (Form == "json") {
-      Out.add(Entry.Row);
+  for (const TimelineEvent &Event : Rows) {
+    if (Format == "json") {
+      Out.add(Event.Fields);
       continue;
     }
-    // Trace events as browsers' trace viewers read them: instants, in
-    // microseconds, one row a node.
+    // Chrome trace format: instant events in microseconds, one row per node.
     Poco::JSON::Object Instant;
     Instant.set("ph", std::string("i"));
     Instant.set("s", std::string("p"));
-    Instant.set("ts", (Entry.Clock >> 16) * 1000);
-    Instant.set("pid", textAt(Entry.Row, "node"));
+    Instant.set("ts", (Event.Clock >> 16) * 1000);
+    Instant.set("pid", textAt(Event.Fields, "node"));
     Instant.set("tid", 0);
-    Instant.set("name", textAt(Entry.Row, "name"));
+    Instant.set("name", textAt(Event.Fields, "name"));
     Poco::JSON::Object Args;
-    Args.set("subject", textAt(Entry.Row, "subject"));
-    Args.set("detail", textAt(Entry.Row, "detail"));
+    Args.set("subject", textAt(Event.Fields, "subject"));
+    Args.set("detail", textAt(Event.Fields, "detail"));
     Instant.set("args", Args);
     Out.add(Instant);
   }
@@ -246,117 +245,117 @@
 } // namespace
 
 Exit runCheck(const CommandLine &Line) {
-  // Settings files are told from objects by their field "node".
-  if (Line.Words.size() < 2)
+  // Only settings files have a top-level field "node".
+  if (Line.Args.size() < 2)
     return usage("check FILE...");
-  bool Good = true;
-  for (std::size_t I = 1; I < Line.Words.size(); ++I) {
+  bool Valid = true;
+  for (std::size_t I = 1; I < Line.Args.size(); ++I) {
     std::string Text;
-    ValidationErrors Found;
-    if (!readFile(Line.Words[I], Text))
-      Found.Errors.push_back({Line.Words[I], 1, "file", "a readable file"});
+    ValidationErrors Errors;
+    if (!readFile(Line.Args[I], Text))
+      Errors.Errors.push_back({Line.Args[I], 1, "file", "a readable file"});
     else if (Text.rfind("node:", 0) == 0 ||
              Text.find("\nnode:") != std::string::npos)
-      parseSettings(Line.Words[I], Text, Found);
-    else if (parseObjects(Line.Words[I], Text, Found).empty() && Found.empty())
-      Found.Errors.push_back({Line.Words[I], 1, "file", "at least one object"});
-    std::cerr << Found.text();
-    Good &= Found.empty();
+      parseSettings(Line.Args[I], Text, Errors);
+    else if (parseObjects(Line.Args[I], Text, Errors).empty() && Errors.empty())
+      Errors.Errors.push_back({Line.Args[I], 1, "file", "at least one object"});
+    std::cerr << Errors.text();
+    Valid &= Errors.empty();
   }
-  return Good ? Exit::Good : Exit::BadInput;
+  return Valid ? Exit::Success : Exit::BadInput;
 }
 
 Exit runDigest(const CommandLine &Line) {
-  if (Line.Words.size() != 2)
+  if (Line.Args.size() != 2)
     return usage("digest KEY");
-  std::cout << digestKey(Line.Words[1]) << "\n";
-  return Exit::Good;
+  std::cout << digestKey(Line.Args[1]) << "\n";
+  return Exit::Success;
 }
 
 Exit runApply(const CommandLine &Line) {
   std::vector<Object> Rows;
-  if (Exit Read = readObjects(Line, Rows); Read != Exit::Good)
+  if (Exit Read = readObjects(Line, Rows); Read != Exit::Success)
     return Read;
   Client Daemon(Line.Server, Line.Key);
-  Exit Worst = Exit::Good;
+  Exit Worst = Exit::Success;
   for (const Object &Row : Rows)
     Worst = std::max(Worst, applyOne(Daemon, Line, Row));
   return Worst;
 }
 
 Exit runGet(const CommandLine &Line) {
-  if (Line.Words.size() > 3)
+  if (Line.Args.size() > 3)
     return usage("get [KIND [NAME]]");
   std::string Path = "/operator/v1/objects?kind=" +
-                     (Line.Words.size() > 1 ? Line.Words[1] : "") +
-                     "&name=" + (Line.Words.size() > 2 ? Line.Words[2] : "");
+                     (Line.Args.size() > 1 ? Line.Args[1] : "") +
+                     "&name=" + (Line.Args.size() > 2 ? Line.Args[2] : "");
   Client Daemon(Line.Server, Line.Key);
   absl::StatusOr<JsonObject> Body = Daemon.json(Path);
   if (!Body.ok())
-    return complain(Body.status());
+    return reportError(Body.status());
   Poco::JSON::Array::Ptr Rows = (*Body)->getArray("objects");
-  if (Line.Words.size() == 3 && Rows->size() == 1 && !Line.Json) {
+  if (Line.Args.size() == 3 && Rows->size() == 1 && !Line.Json) {
     std::cout << "# revision " << cell(Rows->getObject(0), "revision") << "\n"
               << textAt(Rows->getObject(0), "body") << "\n";
-    return Exit::Good;
+    return Exit::Success;
   }
   TextTable Table = tableOf(*Body, "objects", {"kind", "name", "revision"});
   std::cout << (Line.Json ? Table.json() : Table.text());
-  return Line.Words.size() == 3 && Rows->size() == 0 ? Exit::Refused
-                                                     : Exit::Good;
+  return Line.Args.size() == 3 && Rows->size() == 0 ? Exit::Refused
+                                                    : Exit::Success;
 }
 
 Exit runDiff(const CommandLine &Line) {
   std::vector<Object> Rows;
-  if (Exit Read = readObjects(Line, Rows); Read != Exit::Good)
+  if (Exit Read = readObjects(Line, Rows); Read != Exit::Success)
     return Read;
   Client Daemon(Line.Server, Line.Key);
-  Exit Result = Exit::Good;
+  Exit Result = Exit::Success;
   for (const Object &Row : Rows) {
-    absl::StatusOr<Published> Present = fetch(Daemon, Row.Key);
-    if (!Present.ok())
-      return complain(Present.status());
-    if (Present->Body == Row.Body)
+    absl::StatusOr<Published> Current = fetch(Daemon, Row.Key);
+    if (!Current.ok())
+      return reportError(Current.status());
+    if (Current->Body == Row.Body)
       continue;
     Result = Exit::Refused;
-    std::cout << "--- " << Row.Key.text() << " revision " << Present->Revision
+    std::cout << "--- " << Row.Key.text() << " revision " << Current->Revision
               << "\n"
-              << Present->Body << "\n+++ file\n"
+              << Current->Body << "\n+++ file\n"
               << Row.Body << "\n";
   }
   return Result;
 }
 
 Exit runDelete(const CommandLine &Line) {
-  if (Line.Words.size() != 3 || !kindFromName(Line.Words[1]))
+  if (Line.Args.size() != 3 || !kindFromName(Line.Args[1]))
     return usage("delete KIND NAME");
   Client Daemon(Line.Server, Line.Key);
-  ObjectKey Key{*kindFromName(Line.Words[1]), Line.Words[2]};
-  absl::StatusOr<Published> Present = fetch(Daemon, Key);
-  if (!Present.ok())
-    return complain(Present.status());
-  return publish(Daemon, Key, Present->Revision, "", true);
+  ObjectKey Key{*kindFromName(Line.Args[1]), Line.Args[2]};
+  absl::StatusOr<Published> Current = fetch(Daemon, Key);
+  if (!Current.ok())
+    return reportError(Current.status());
+  return publish(Daemon, Key, Current->Revision, "", true);
 }
 
-Exit runDrain(const CommandLine &Line, bool Away) {
-  if (Line.Words.size() < 2)
-    return usage(Line.Words[0] + " VM...");
+Exit runDrain(const CommandLine &Line, bool Drain) {
+  if (Line.Args.size() < 2)
+    return usage(Line.Args[0] + " VM...");
   Client Daemon(Line.Server, Line.Key);
-  Exit Worst = Exit::Good;
-  for (std::size_t I = 1; I < Line.Words.size(); ++I) {
-    const std::string &Vm = Line.Words[I];
+  Exit Worst = Exit::Success;
+  for (std::size_t I = 1; I < Line.Args.size(); ++I) {
+    const std::string &Vm = Line.Args[I];
     ObjectKey Key{ObjectKind::Drain, DrainPrefix + Vm};
-    absl::StatusOr<Published> Present = fetch(Daemon, Key);
-    if (!Present.ok())
-      return complain(Present.status());
-    if ((Present->Revision > 0) == Away) {
+    absl::StatusOr<Published> Current = fetch(Daemon, Key);
+    if (!Current.ok())
+      return reportError(Current.status());
+    if ((Current->Revision > 0) == Drain) {
       std::cout << "unchanged: " << Key.text() << "\n";
       continue;
     }
     std::string Body =
         "kind: drain\nname: " + Key.Name + "\nspec:\n  vms: [" + Vm + "]";
     Worst =
-        std::max(Worst, publish(Daemon, Key, Present->Revision, Body, !Away));
+        std::max(Worst, publish(Daemon, Key, Current->Revision, Body, !Drain));
   }
   return Worst;
 }
@@ -365,11 +364,11 @@
   Client Daemon(Line.Server, Line.Key);
   absl::StatusOr<JsonObject> Body = Daemon.json("/operator/v1/status");
   if (!Body.ok())
-    return complain(Body.status());
+    return reportError(Body.status());
   if (Line.Json) {
     (*Body)->stringify(std::cout, 2);
     std::cout << "\n";
-    return Exit::Good;
+    return Exit::Success;
   }
   TextTable Node(
       {"node", "data_centre", "ready", "log_up", "in_flight", "next"});
@@ -390,26 +389,26 @@
             << tableOf(*Body, "vms",
                        {"vm", "domain", "group", "leaving", "drained"})
                    .text();
-  return Exit::Good;
+  return Exit::Success;
 }
 
 Exit runTimeline(const CommandLine &Line) {
-  std::string Form = Line.Words.size() > 1 ? Line.Words[1]
-                     : Line.Json           ? "json"
-                                           : "text";
-  if (Form != "text" && Form != "json" && Form != "chrome")
+  std::string Format = Line.Args.size() > 1 ? Line.Args[1]
+                       : Line.Json          ? "json"
+                                            : "text";
+  if (Format != "text" && Format != "json" && Format != "chrome")
     return usage("timeline [text|json|chrome]");
   Client First(Line.Server, Line.Key);
   absl::StatusOr<JsonObject> Status = First.json("/operator/v1/status");
   if (!Status.ok())
-    return complain(Status.status());
-  std::vector<TimelineRow> Rows;
-  for (const Endpoint &Where : knownDaemons(Line, *Status)) {
-    Client Daemon(Where, Line.Key);
+    return reportError(Status.status());
+  std::vector<TimelineEvent> Rows;
+  for (const Endpoint &Address : knownDaemons(Line, *Status)) {
+    Client Daemon(Address, Line.Key);
     absl::StatusOr<JsonObject> Body = Daemon.json("/operator/v1/events");
     if (!Body.ok()) {
-      std::cerr << "waycove: " << Where.text()
-                << " left out: " << messageOf(Body.status()) << "\n";
+      std::cerr << "waycove: " << Address.text()
+                << " skipped: " << messageOf(Body.status()) << "\n";
       continue;
     }
     Poco::JSON::Array::Ptr List = (*Body)->getArray("events");
@@ -418,11 +417,11 @@
           {numberAt(List->getObject(I), "clock"), List->getObject(I)});
   }
   std::stable_sort(Rows.begin(), Rows.end(),
-                   [](const TimelineRow &Left, const TimelineRow &Right) {
+                   [](const TimelineEvent &Left, const TimelineEvent &Right) {
                      return Left.Clock < Right.Clock;
                    });
-  printTimeline(Rows, Form);
-  return Exit::Good;
+  printTimeline(Rows, Format);
+  return Exit::Success;
 }
 
 } // namespace waycove
--- a/src/main/text_table.cpp
+++ b/src/main/text_table.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr std::size_t Gap = 2;
+constexpr std::size_t ColumnGap = 2;
 
 } // namespace
 
-TextTable::TextTable(std::vector<std::string> Given)
-    : Headings(std::move(Given)) {}
+TextTable::TextTable(std::vector<std::string> Headings)
+    : Headings(std::move(Headings)) {}
 
 void TextTable::add(std::vector<std::string> Row) {
   Row.resize(this->Headings.size());
@@ -33,16 +33,17 @@
       Widths[I] = std::max(Widths[I], Row[I].size());
   }
   std::ostringstream Out;
-  auto Line = [&](const std::vector<std::string> &Cells) {
+  auto PrintLine = [&](const std::vector<std::string> &Cells) {
     std::string Text;
     for (std::size_t I = 0; I < Cells.size(); ++I)
-      Text += Cells[I] + std::string(Widths[I] + Gap - Cells[I].size(), ' ');
+      Text +=
+          Cells[I] + std::string(Widths[I] + ColumnGap - Cells[I].size(), ' ');
     Text.erase(Text.find_last_not_of(' ') + 1);
     Out << Text << "\n";
   };
-  Line(this->Headings);
+  PrintLine(this->Headings);
   for (const auto &Row : this->Rows)
-    Line(Row);
+    PrintLine(Row);
   return Out.str();
 }
 
--- a/src/main/text_table.h
+++ b/src/main/text_table.h
@@ -9,14 +9,14 @@
 
 namespace waycove {
 
-/// Rows of text under headings, shown in columns or as JSON.
+/// A table of strings with headings, printed in columns or as JSON.
 class TextTable {
 public:
   explicit TextTable(std::vector<std::string> Headings);
   void add(std::vector<std::string> Row);
-  /// Columns padded to their widest cell.
+  /// Returns the table as text with aligned columns.
   std::string text() const;
-  /// A list of objects, keyed by heading.
+  /// Returns the table as a JSON array of objects with the headings as keys.
   std::string json() const;
 
 private:
--- a/src/main/waycove.cpp
+++ b/src/main/waycove.cpp
@@ -15,7 +15,7 @@
 DEFINE_string(key, "", "operator key; WAYCOVE_KEY in the environment if empty");
 DEFINE_string(output, "table", "table or json");
 DEFINE_int64(base, -1,
-             "apply: the revision the change is based on; the present one if "
+             "apply: the revision the change is based on; the current one if "
              "negative");
 
 namespace {
@@ -26,20 +26,20 @@
     "the operators' tool of waycove\n\n"
     "  waycove check FILE...            validate objects or settings, offline\n"
     "  waycove apply FILE...            publish objects\n"
-    "  waycove diff FILE...             compare files with what is published\n"
+    "  waycove diff FILE...             compare files with published objects\n"
     "  waycove get [KIND [NAME]]        show published objects\n"
-    "  waycove delete KIND NAME         take an object back\n"
-    "  waycove drain VM...              give VMs no new work\n"
-    "  waycove undrain VM...            take that back\n"
+    "  waycove delete KIND NAME         remove a published object\n"
+    "  waycove drain VM...              send no new work to VMs\n"
+    "  waycove undrain VM...            send new work to VMs again\n"
     "  waycove status                   daemons, groups and VMs\n"
     "  waycove timeline [text|json|chrome]\n"
     "                                   events of all daemons, in causal "
     "order\n"
-    "  waycove digest KEY               what key_digest fields hold for a key\n"
-    "  waycove bench [NAME]             fixed inputs through the decisions\n"
+    "  waycove digest KEY               print a key's digest for key_digest\n"
+    "  waycove bench [NAME]             run a benchmark of the decision code\n"
     "  waycove version\n\n"
-    "Exit status: 0 done, 1 refused or different, 2 bad words or file (nothing "
-    "sent), 3 no answer\nor outcome not known.";
+    "Exit status: 0 done, 1 rejected or different, 2 invalid arguments or file "
+    "(nothing sent),\n3 no response or outcome unknown.";
 
 std::string keyFromEnvironment() {
   const char *Text = std::getenv("WAYCOVE_KEY");
@@ -47,7 +47,7 @@
 }
 
 Exit run(const CommandLine &Line) {
-  const std::string &Name = Line.Words[0];
+  const std::string &Name = Line.Args[0];
   if (Name == "check")
     return runCheck(Line);
   if (Name == "digest")
@@ -69,14 +69,14 @@
   if (Name == "timeline")
     return runTimeline(Line);
   if (Name == "bench")
-    return runBench(Line.Words.size() > 1 ? Line.Words[1] : "", std::cout)
-               ? Exit::Good
+    return runBench(Line.Args.size() > 1 ? Line.Args[1] : "", std::cout)
+               ? Exit::Success
                : Exit::BadInput;
   if (Name == "version") {
     std::cout << WAYCOVE_VERSION << "\n";
-    return Exit::Good;
+    return Exit::Success;
   }
-  std::cerr << "waycove: no command '" << Name << "'; see --help\n";
+  std::cerr << "waycove: unknown command '" << Name << "'; see --help\n";
   return Exit::BadInput;
 }
 
@@ -87,13 +87,13 @@
   gflags::SetVersionString(WAYCOVE_VERSION);
   gflags::ParseCommandLineFlags(&Argc, &Argv, true);
   CommandLine Line;
-  Line.Words.assign(Argv + 1, Argv + Argc);
+  Line.Args.assign(Argv + 1, Argv + Argc);
   Line.Key = FLAGS_key.empty() ? keyFromEnvironment() : FLAGS_key;
   Line.Json = FLAGS_output == "json";
   Line.Base = FLAGS_base;
-  bool Good = !Line.Words.empty() && (Line.Json || FLAGS_output == "table") &&
-              parseEndpoint(FLAGS_server, Line.Server);
-  if (!Good) {
+  bool Valid = !Line.Args.empty() && (Line.Json || FLAGS_output == "table") &&
+               parseEndpoint(FLAGS_server, Line.Server);
+  if (!Valid) {
     std::cerr << "waycove: expected a command, --server=IP:PORT and "
                  "--output=table|json; see --help\n";
     return static_cast<int>(Exit::BadInput);
--- a/src/main/waycoved.cpp
+++ b/src/main/waycoved.cpp
@@ -14,21 +14,23 @@
 #include <thread>
 
 DEFINE_string(settings, "", "settings file (YAML); see docs/CONFIG.md");
-DEFINE_bool(check_settings, false,
-            "check the settings, name all mistakes, and end: 0 good, 2 bad");
-DEFINE_bool(list_events, false, "print the catalogue of events and end");
-DEFINE_string(node, "", "in place of the settings' node");
-DEFINE_string(data_centre, "", "in place of the settings' data_centre");
-DEFINE_string(http, "", "in place of the settings' http address");
-DEFINE_string(peer_listen, "", "in place of the settings' peer_listen");
-DEFINE_string(platform, "", "in place of the settings' platform address");
+DEFINE_bool(
+    check_settings, false,
+    "validate the settings, print all errors, and exit with status 0 if "
+    "valid or 2 if invalid");
+DEFINE_bool(list_events, false, "print the event catalogue and exit");
+DEFINE_string(node, "", "overrides node of the settings");
+DEFINE_string(data_centre, "", "overrides data_centre of the settings");
+DEFINE_string(http, "", "overrides http of the settings");
+DEFINE_string(peer_listen, "", "overrides peer_listen of the settings");
+DEFINE_string(platform, "", "overrides platform of the settings");
 
 namespace {
 
 using namespace waycove;
 
 constexpr int ExitBadInput = 2;
-constexpr int ExitCut = 1;
+constexpr int ExitInterrupted = 1;
 constexpr char Usage[] =
     "the entry daemon of waycove\n\n"
     "  waycoved --settings FILE\n"
@@ -36,43 +38,40 @@
     "  waycoved --list_events\n\n"
     "Serves callers and operators over HTTP and talks to other daemons, to the "
     "platform and to targets.\nSIGTERM begins a planned stop; a second one "
-    "ends "
-    "the process at once.\nExit status: 0 stopped with nothing cut, 1 "
-    "something "
-    "was cut, 2 bad settings or address.";
+    "ends the process at once.\nExit status: 0 stopped without interrupting "
+    "requests, 1 requests were interrupted,\n2 invalid settings or address.";
 
-void overrideText(YAML::Node &Into, const char *Field,
-                  const std::string &Value) {
+void overrideField(YAML::Node &Out, const char *Field,
+                   const std::string &Value) {
   if (!Value.empty())
-    Into[Field] = Value;
+    Out[Field] = Value;
 }
 
-/// The settings file with what the command line says in its place. Where
-/// nothing is overridden the file's own lines are kept for mistakes.
+/// Returns the settings with the overrides of the command line. Without any,
+/// the text is unchanged, so that errors refer to lines of the file.
 std::string settingsText(const std::string &FileText) {
-  bool Any = !FLAGS_node.empty() || !FLAGS_data_centre.empty() ||
-             !FLAGS_http.empty() || !FLAGS_peer_listen.empty() ||
-             !FLAGS_platform.empty();
-  if (!Any)
+  bool AnyOverride = !FLAGS_node.empty() || !FLAGS_data_centre.empty() ||
+                     !FLAGS_http.empty() || !FLAGS_peer_listen.empty() ||
+                     !FLAGS_platform.empty();
+  if (!AnyOverride)
     return FileText;
   try {
     YAML::Node Node = YAML::Load(FileText);
-    overrideText(Node, "node", FLAGS_node);
-    overrideText(Node, "data_centre", FLAGS_data_centre);
-    overrideText(Node, "http", FLAGS_http);
-    overrideText(Node, "peer_listen", FLAGS_peer_listen);
-    overrideText(Node, "platform", FLAGS_platform);
+    overrideField(Node, "node", FLAGS_node);
+    overrideField(Node, "data_centre", FLAGS_data_centre);
+    overrideField(Node, "http", FLAGS_http);
+    overrideField(Node, "peer_listen", FLAGS_peer_listen);
+    overrideField(Node, "platform", FLAGS_platform);
     return YAML::Dump(Node);
   } catch (const YAML::Exception &) {
-    // The checks that follow name the mistake.
+    // parseSettings() reports the error.
     return FileText;
   }
 }
 
-/// Blocks the signals that the main thread waits for, in all threads that begin
-/// later. It has to come before the first of them, the log's writer: a signal
-/// that the main thread is not waiting for at that moment goes to any thread
-/// that does not block it, and ends the process with all answers in flight.
+/// Blocks the signals that the main thread waits for, in this thread and all
+/// threads created later. Must be called before any thread is created, because
+/// a thread that does not block a signal may receive it and end the process.
 sigset_t blockSignals() {
   sigset_t Signals;
   sigemptyset(&Signals);
@@ -84,25 +83,25 @@
   return Signals;
 }
 
-/// Reads the settings file again and tells what came of it. What a running
-/// entry takes from it is fixed at its start; a change needs a restart.
+/// Reads the settings file again and logs whether it is valid. Changes take
+/// effect only after a restart.
 void reloadSettings(Events &Log) {
   std::ifstream File(FLAGS_settings);
   std::stringstream Text;
   Text << File.rdbuf();
-  ValidationErrors Found;
-  parseSettings(FLAGS_settings, settingsText(Text.str()), Found);
-  if (Found.empty())
+  ValidationErrors Errors;
+  parseSettings(FLAGS_settings, settingsText(Text.str()), Errors);
+  if (Errors.empty())
     Log.emit(EventCode::SettingsReloaded, FLAGS_settings);
   else
     Log.emit(EventCode::SettingsRefused, FLAGS_settings,
-             LogFields().add("reason", Found.text()));
+             LogFields().add("reason", Errors.text()));
 }
 
-/// Starts a daemon; false where an address is taken, and says so.
-template <typename Process> bool begin(Process &Started) {
+/// Starts a daemon; prints an error and returns false if it cannot listen.
+template <typename Process> bool startDaemon(Process &Daemon) {
   try {
-    Started.start();
+    Daemon.start();
     return true;
   } catch (const Poco::Exception &Error) {
     std::cerr << "cannot listen: " << Error.displayText() << "\n";
@@ -110,47 +109,48 @@
   }
 }
 
-/// Serves as an entry on the platform until a planned stop has ended.
+/// Runs an entry on the platform until a planned stop ends.
 int runEntry(const Settings &Config, const sigset_t &Signals) {
   EntryDaemon<platform::Platform> Process(Config);
-  if (!begin(Process))
+  if (!startDaemon(Process))
     return ExitBadInput;
   int Signal = 0;
   while (sigwait(&Signals, &Signal) == 0 && Signal == SIGHUP)
     reloadSettings(Process.log());
   Process.beginStop();
-  // Leaves the platform's own limit this margin.
+  // Ends this long before the platform kills the process.
   constexpr Millis StopMargin(400);
   auto Until = BootClock::now() + Config.Entry->GracePeriod - StopMargin;
   while (!Process.isDrained() && BootClock::now() < Until)
     std::this_thread::sleep_for(Millis(50));
   Process.logStopped();
   stopLogging();
-  // Threads may still wait for callers that rest; nothing is kept on disk.
-  std::_Exit(Process.inFlight() == 0 ? 0 : ExitCut);
+  // Does not wait for threads of idle connections; there is no state on disk.
+  std::_Exit(Process.inFlight() == 0 ? 0 : ExitInterrupted);
 }
 
+/// Runs a daemon until a planned stop ends or a second signal arrives.
 int runDaemon(const Settings &Config, sigset_t Signals) {
   sigdelset(&Signals, SIGHUP);
   Daemon Process(Config);
-  if (!begin(Process))
+  if (!startDaemon(Process))
     return ExitBadInput;
   int Signal = 0;
   sigwait(&Signals, &Signal);
   Process.beginStop();
-  // From here on a second signal is noticed between looks.
+  // A second signal ends the wait.
   auto Until = BootClock::now() + Config.DrainTimeout;
   while (!Process.isDrained() && BootClock::now() < Until) {
-    timespec Pause{0, 20'000'000};
-    if (sigtimedwait(&Signals, nullptr, &Pause) > 0)
+    timespec PollInterval{0, 20'000'000};
+    if (sigtimedwait(&Signals, nullptr, &PollInterval) > 0)
       break;
   }
-  std::uint32_t Cut = Process.inFlight();
-  if (Cut == 0)
+  std::uint32_t Interrupted = Process.inFlight();
+  if (Interrupted == 0)
     return 0;
-  std::cerr << "{\"name\":\"daemon_stopped\",\"cut\":" << Cut << "}\n";
+  std::cerr << "{\"name\":\"daemon_stopped\",\"cut\":" << Interrupted << "}\n";
   stopLogging();
-  std::_Exit(ExitCut);
+  std::_Exit(ExitInterrupted);
 }
 
 } // namespace
@@ -171,11 +171,11 @@
   }
   std::stringstream Text;
   Text << File.rdbuf();
-  ValidationErrors Found;
+  ValidationErrors Errors;
   Settings Config =
-      parseSettings(FLAGS_settings, settingsText(Text.str()), Found);
-  if (!Found.empty()) {
-    std::cerr << Found.text();
+      parseSettings(FLAGS_settings, settingsText(Text.str()), Errors);
+  if (!Errors.empty()) {
+    std::cerr << Errors.text();
     return ExitBadInput;
   }
   if (FLAGS_check_settings)
