--- a/tests/failure/config_test.cpp
+++ b/tests/failure/config_test.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Promise: an accepted configuration is in force everywhere within seconds and
-// never goes back. And: requests land only where labels allow.
+// An accepted configuration is in force everywhere within seconds and is never
+// reverted, and requests are sent only to targets that the labels allow.
 #include "support/cluster.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace waycove::test {
 
-/// Two data centres; the second has one daemon.
+/// Two data centres, with two daemons and one.
 struct ConfigCluster {
   ConfigCluster() {
     this->Run.ExtraSettings = "checkpoint_every_records: 10";
@@ -29,9 +29,10 @@
   std::uint64_t next(const std::string &Node) {
     return numberAt(this->Run.status(Node), "next");
   }
-  bool same() {
-    std::uint64_t At = this->next("n1");
-    return At > 0 && this->next("n2") == At && this->next("n3") == At;
+  bool allSame() {
+    std::uint64_t Offset = this->next("n1");
+    return Offset > 0 && this->next("n2") == Offset &&
+           this->next("n3") == Offset;
   }
   std::string revisionOf(const std::string &Node, const std::string &Name) {
     return this->Run
@@ -68,7 +69,7 @@
     CHECK(Lost.error() == "conflict");
     CHECK(Lost.error("message").find("revision") != std::string::npos);
   }
-  CHECK(eventually([&] { return this->same(); }));
+  CHECK(eventually([&] { return this->allSame(); }));
 }
 
 TEST_CASE_METHOD(ConfigCluster,
@@ -88,10 +89,10 @@
                  "config: the append's answer is lost: accepted once",
                  "[process]") {
   this->Run.platformFault(R"({"append":"lose_ack"})");
-  Reply Answer = this->select("n1", "lost", "x");
-  CHECK(Answer.Status == 200);
+  Reply Response = this->select("n1", "lost", "x");
+  CHECK(Response.Status == 200);
   this->Run.platformFault(R"({"append":"ok"})");
-  CHECK(eventually([&] { return this->same(); }));
+  CHECK(eventually([&] { return this->allSame(); }));
   CHECK(this->select("n2", "lost", "y", 0).error() == "conflict");
 }
 
@@ -115,14 +116,14 @@
                  "only with its peers' newest state",
                  "[process]") {
   REQUIRE(this->select("n1", "during", "x").Status == 200);
-  REQUIRE(eventually([&] { return this->same(); }));
+  REQUIRE(eventually([&] { return this->allSame(); }));
   this->Run.platformFault(
       R"({"append":"refuse","read":"refuse","list":"refuse"})");
-  // Groups may have been forming until just now.
+  // Waits until pending group changes are folded.
   REQUIRE(eventually([&] {
     return !this->Run.status("n1")->optValue<bool>("log_up", true) &&
            !this->Run.status("n3")->optValue<bool>("log_up", true) &&
-           this->same();
+           this->allSame();
   }));
   std::uint64_t Newest = this->next("n1");
   this->Run.killNode("n2");
@@ -130,7 +131,7 @@
   REQUIRE(eventually([&] { return this->Run.isReady("n2"); }));
   CHECK(this->next("n2") == Newest);
   CHECK(this->revisionOf("n2", "during").find("tier") != std::string::npos);
-  // It knows the targets too, from a peer.
+  // It received the targets from a peer too.
   CHECK(eventually(
       [&] { return this->Run.callService("n2", "").text("vm") == "sa-1"; }));
 }
@@ -146,9 +147,9 @@
   REQUIRE(eventually(
       [&] { return this->Run.ask("n1", {.Path = "/healthz"}).Status == 200; }));
   CHECK_FALSE(this->Run.isReady("n1"));
-  Reply Answer = this->Run.callService("n1", "");
-  CHECK(Answer.error() == "not_ready");
-  CHECK(Answer.error("ran") == "no");
+  Reply Response = this->Run.callService("n1", "");
+  CHECK(Response.error() == "not_ready");
+  CHECK(Response.error("ran") == "no");
   Reply Keyed = this->Run.callService("n1", freshKey("x"));
   CHECK(Keyed.error() == "not_ready");
   CHECK(Keyed.error("ran") == "unknown");
@@ -158,7 +159,7 @@
                  "config: a daemon cut from the platform, not from its peers: "
                  "learns what is published",
                  "[process]") {
-  // Its platform address leads nowhere; its peers are whole.
+  // Its platform address is unreachable; its peer links work.
   this->Run.killNode("n2");
   std::string Whole = this->Run.settingsFile("n2");
   Process Cut({std::string(WAYCOVE_BUILD) + "/waycoved", "--settings=" + Whole,
@@ -197,7 +198,7 @@
   REQUIRE(this->Run.apply("n1", "data_centre", "b", "{labels: {region: east}}")
               .Status == 200);
   REQUIRE(eventually([&] {
-    return this->same() && this->Run.serving("n3") == 1 &&
+    return this->allSame() && this->Run.serving("n3") == 1 &&
            this->Run.callService("n1", "").Status == 200;
   }));
   struct LabelCase {
@@ -220,30 +221,28 @@
     INFO(Row.Node << " " << Row.Wanted);
     REQUIRE(eventually(
         [&] {
-          Reply Answer = this->Run.callService(
+          Reply Response = this->Run.callService(
               Row.Node, "", {{"X-Waycove-Labels", Row.Wanted}});
-          return Answer.Status == Row.Status &&
-                 (Row.Status != 200 || Answer.text("vm") == Row.Vm);
+          return Response.Status == Row.Status &&
+                 (Row.Status != 200 || Response.text("vm") == Row.Vm);
         },
         std::chrono::milliseconds(5000)));
   }
-  // The model runs in b only; asked for in a, it is passed on.
-  // On a busy machine n2 may not have heard of b's entry yet: that is told as
-  // what it is, and nothing else is waited for.
-  Reply Passed;
+  // The model runs in b only, so a request in a is forwarded. Only the error
+  // for a data centre whose entry n2 does not know yet is retried.
+  Reply Forwarded;
   REQUIRE(eventually([&] {
-    Passed = this->Run.generate("n2", 6, true);
-    bool Unheard =
-        Passed.Status == 503 &&
-        Passed.Body.find("no allowed data centre answers") != std::string::npos;
-    if (Unheard)
-      CHECK(Passed.text("ran") == "no");
-    return !Unheard;
+    Forwarded = this->Run.generate("n2", 6, true);
+    bool EntryUnknown = Forwarded.Status == 503 &&
+                        Forwarded.Body.find("no allowed data centre answers") !=
+                            std::string::npos;
+    if (EntryUnknown)
+      CHECK(Forwarded.text("ran") == "no");
+    return !EntryUnknown;
   }));
-  CAPTURE(Passed.Status, Passed.Body);
-  CHECK(streamedIndexes(Passed.Body).size() == 6);
-  // A workspace's own limits hold too, and a selector that nobody defined
-  // allows nothing.
+  CAPTURE(Forwarded.Status, Forwarded.Body);
+  CHECK(streamedIndexes(Forwarded.Body).size() == 6);
+  // Selectors of the workspace apply too; an undefined selector allows nothing.
   REQUIRE(this->Run
               .apply("n1", "workspace", "w2",
                      "{key_digest: " + std::string(40, 'a') +
--- a/tests/failure/log_restored_test.cpp
+++ b/tests/failure/log_restored_test.cpp
@@ -2,10 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// The platform's log is back from an older copy of itself: what daemons and
-// operators wrote since is gone, and its offsets are given out again. What
-// operators had published stays in force, what had run does not run again, and
-// what is written then counts everywhere.
+// The platform's log is restored from a backup: published objects must stay in
+// force, and requests that were executed must not be executed again.
 #include "support/cluster.h"
 
 #include "policy/objects.h"
@@ -20,10 +18,10 @@
 
 using std::chrono::milliseconds;
 
-/// How long the platform is away before it comes back from its copy.
-constexpr milliseconds AwayTime(500);
-/// For daemons to write again what was lost, and to take requests again.
-constexpr milliseconds BackTime(10000);
+/// Duration of the outage before the restore.
+constexpr milliseconds OutageDuration(500);
+/// Timeout for daemons to write lost records again and accept requests.
+constexpr milliseconds RecoveryTimeout(10000);
 
 } // namespace
 
@@ -50,7 +48,7 @@
   void restore() {
     this->Run.platformFault(
         R"({"append":"refuse","read":"refuse","list":"refuse"})");
-    std::this_thread::sleep_for(AwayTime);
+    std::this_thread::sleep_for(OutageDuration);
     this->atStore("/store/restore");
     this->Run.platformFault(R"({"append":"ok","read":"ok","list":"ok"})");
   }
@@ -59,8 +57,8 @@
       return this->Run.callService(Node, "").Status == 200;
     });
   }
-  /// Waits until all daemons have seen the restore and take requests.
-  bool allBack() {
+  /// Waits until all daemons have noticed the restore and accept requests.
+  bool allRecovered() {
     return eventually(
         [&] {
           return std::all_of(Daemons.begin(), Daemons.end(),
@@ -72,14 +70,14 @@
                              }) &&
                  this->allServe();
         },
-        BackTime);
+        RecoveryTimeout);
   }
   Reply publish(const std::string &Node, const std::string &Name,
                 const std::string &Value) {
     return this->Run.apply(Node, "selector", Name,
                            "{match: {tier: [" + Value + "]}}");
   }
-  /// Whether all daemons show \p Value in the selector \p Name.
+  /// Waits until all daemons show \p Value in the selector \p Name.
   bool allShow(const std::string &Name, const std::string &Value) {
     return eventually(
         [&] {
@@ -109,10 +107,10 @@
   for (int I = 0; I < 15; ++I)
     REQUIRE(this->publish("n1", "c" + std::to_string(I), "x").Status == 200);
   this->restore();
-  REQUIRE(this->allBack());
+  REQUIRE(this->allRecovered());
   CHECK(this->publish("n3", "after", "y").Status == 200);
   CHECK(this->allShow("after", "y"));
-  // What was published before it, and lost, is in force, too.
+  // Lost objects are in force again.
   CHECK(this->allShow("c0", "x"));
   CHECK(this->allShow("c14", "x"));
 }
@@ -124,7 +122,7 @@
   REQUIRE(this->publish("n1", "changed", "old").Status == 200);
   this->copy();
   REQUIRE(this->publish("n1", "changed", "new").Status == 200);
-  // The workspace's callers get another key.
+  // Replaces the key of the workspace.
   REQUIRE(this->Run
               .apply("n1", "workspace", "w2",
                      "{key_digest: " + digestKey("w2-other") +
@@ -141,9 +139,9 @@
   REQUIRE(eventually([&] { return !ServesOldKey(); }));
   this->restore();
   CHECK_FALSE(eventually(ServesOldKey, milliseconds(6000)));
-  REQUIRE(this->allBack());
+  REQUIRE(this->allRecovered());
   CHECK(this->allShow("changed", "new"));
-  // A daemon that starts finds it in the log.
+  // A restarted daemon reads it from the log.
   this->Run.killNode("n2");
   this->Run.startNode("n2");
   REQUIRE(eventually([&] { return this->Run.isReady("n2"); }));
@@ -161,11 +159,11 @@
     this->Run.callService(Round % 2 ? "n3" : "n2", Key);
     std::this_thread::sleep_for(milliseconds(100));
   }
-  REQUIRE(this->allBack());
+  REQUIRE(this->allRecovered());
   for (const char *Node : Daemons)
     this->Run.callService(Node, Key);
   CHECK(this->Run.callsOf(Key) == 1);
-  // New keys are taken.
+  // New keys are accepted.
   CHECK(this->Run.callService("n2", freshKey("sale-2")).Status == 200);
 }
 
@@ -194,7 +192,7 @@
          {}});
   std::this_thread::sleep_for(milliseconds(800));
   this->restore();
-  REQUIRE(this->allBack());
+  REQUIRE(this->allRecovered());
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"sa-1","state":"gone"})", {}});
   CHECK(eventually(
--- a/tests/failure/neighbours_test.cpp
+++ b/tests/failure/neighbours_test.cpp
@@ -2,9 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Several entries of one data centre, as real processes: one reads the store
-// for all, and what the others do when it is killed or frozen, or the store is
-// away.
+// Entries of one data centre, one of which reads the store for all: updates
+// must continue when it is killed or frozen, or the store is unavailable.
 #include "support/neighbours.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +12,7 @@
 
 namespace waycove::test {
 
-/// Three entries of one data centre before two plain targets.
+/// Three entries of one data centre in front of two plain targets.
 struct NeighbourFixture : Neighbours {
   NeighbourFixture()
       : Neighbours("revoke_bound_ms: 3000, drain_bound_ms: 5000, "
@@ -26,7 +25,7 @@
   this->publish(2, "key-2");
   CHECK(this->allTake(Entries, "key-2"));
   CHECK(this->call("n1", "key-1") == 401);
-  // Three nodes that each read for themselves need 14 reads and more in 4 s.
+  // Three nodes that each read the store need at least 14 reads in 4 s.
   std::uint64_t Before = this->reads();
   std::this_thread::sleep_for(std::chrono::seconds(4));
   CHECK(this->reads() - Before <= 11);
@@ -48,7 +47,7 @@
   this->Run.node(Reader).signal(SIGSTOP);
   this->publish(2, "key-2");
   CHECK(this->allTake(this->others(Reader), "key-2"));
-  // Woken, it must not bring what was before back in force anywhere.
+  // After resuming, it must not bring an older version back into force.
   this->Run.node(Reader).signal(SIGCONT);
   for (int I = 0; I < 20; ++I)
     for (const std::string &Node : this->others(Reader))
@@ -63,7 +62,7 @@
   auto Refused = [&](const std::string &Node) {
     return this->call(Node, "key-1") == 503;
   };
-  // Passed on from node to node, a proof must not grow younger.
+  // Relaying must not make a proof younger.
   CHECK(eventually(
       [&] { return Refused("n1") && Refused("n2") && Refused("n3"); },
       std::chrono::milliseconds(3200)));
@@ -71,9 +70,8 @@
   CHECK(eventually([&] { return this->allTake(Entries, "key-1"); }));
 }
 
-// The store's part with the configuration was away, the one with the registry
-// not: every node took the others' news for old and read the registry itself,
-// 45 nodes four times a second.
+// Nodes must not read the registry themselves when only the configuration is
+// unavailable.
 TEST_CASE_METHOD(NeighbourFixture,
                  "neighbours: the configuration alone is away: one still reads "
                  "the registry for all",
@@ -84,11 +82,11 @@
     return this->Run.atPlatform({.Path = "/store/reads?topic=keyed.servers"})
         .number("reads");
   };
-  // Until the age of the configuration shows that it is away.
+  // Waits until the configuration is older than its bound.
   std::this_thread::sleep_for(std::chrono::milliseconds(5500));
   std::uint64_t Before = RegistryReads();
-  // It changes all the time, as where groups are repaired. One reader makes
-  // five reads a second at most.
+  // The registry changes continuously. One reader makes at most five reads per
+  // second.
   for (int I = 0; I < 30; ++I) {
     this->Run.atPlatform({"POST",
                           "/store/put?topic=keyed.servers&key=other",
@@ -104,7 +102,7 @@
 TEST_CASE_METHOD(NeighbourFixture,
                  "neighbours: one restarts: another one tells it what there is",
                  "[failure]") {
-  // The first in order too, to which nobody tells news otherwise.
+  // Includes the first node in order, which has no upstream node otherwise.
   for (const std::string &Node :
        {this->reader(), this->others(this->reader())[0]}) {
     this->restart(Node);
@@ -129,8 +127,8 @@
   CHECK(this->toldFirstBy("n1", "config") == "store");
 }
 
-/// The same with a bound on configurations that a call of the store alone, with
-/// its wait and its time for the answer, would outlast.
+/// A bound on configurations that is shorter than a long-polling read of the
+/// store and its response timeout.
 struct ShortBoundFixture : Neighbours {
   ShortBoundFixture()
       : Neighbours("revoke_bound_ms: 5000, drain_bound_ms: 2000, "
@@ -150,7 +148,7 @@
   REQUIRE(eventually([&] { return !this->follows(Others[0]); }));
   this->publish(2, "key-2");
   REQUIRE(this->allTake({Others[0]}, "key-2"));
-  // The next read has just begun.
+  // The next read has started.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   this->Links[Others[0]]->silenceOpen();
   this->publish(3, "key-3");
--- a/tests/failure/suspended_test.cpp
+++ b/tests/failure/suspended_test.cpp
@@ -2,8 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// A machine may be suspended for seconds, and its steady clock does not count
-// them: whatever a node believed before is that much older.
+// A node whose machine is suspended: the steady clock excludes that time.
 #include "support/entry_fixture.h"
 
 #include <catch2/catch.hpp>
@@ -15,22 +14,22 @@
 
 using std::chrono::milliseconds;
 
-/// Longer than the bound on revoked keys, and than callers wait.
-constexpr milliseconds SuspendedTime(2500);
+/// Longer than the revocation bound and the callers' deadlines.
+constexpr milliseconds SuspendedDuration(2500);
 
 } // namespace
 
 struct SuspendedFixture : EntryFixture {
   SuspendedFixture() : EntryFixture("", true) {}
 
-  void suspendFor(milliseconds Time) {
+  void suspendFor(milliseconds Duration) {
     this->Run.suspend("n1");
-    std::this_thread::sleep_for(Time);
+    std::this_thread::sleep_for(Duration);
     this->Run.resume("n1");
   }
 };
 
-// A key that was taken away while the machine was suspended was served on.
+// A key that was revoked during the suspension must not be accepted.
 TEST_CASE_METHOD(SuspendedFixture,
                  "suspended machine: longer than the bound on keys, with the "
                  "store away: keys are refused",
@@ -38,14 +37,14 @@
   REQUIRE(this->call("/safe/x", "r1").Status == 200);
   this->Run.suspend("n1");
   this->Run.atPlatform({"POST", "/store/down?how=silent", "", {}});
-  std::this_thread::sleep_for(SuspendedTime);
+  std::this_thread::sleep_for(SuspendedDuration);
   this->Run.resume("n1");
   CHECK(this->call("/safe/x", "r2").Status == 503);
   this->Run.atPlatform({"POST", "/store/down?how=no", "", {}});
   CHECK(eventually([&] { return this->call("/safe/x", "r3").Status == 200; }));
 }
 
-// A request went on after its caller's deadline had passed meanwhile.
+// A request must not continue after its deadline passed during the suspension.
 TEST_CASE_METHOD(SuspendedFixture,
                  "suspended machine: a request's deadline passes meanwhile: "
                  "given up at once",
@@ -53,18 +52,18 @@
   this->faultAll("p", 2, "hang");
   std::thread Suspended([this] {
     std::this_thread::sleep_for(milliseconds(300));
-    this->suspendFor(SuspendedTime);
+    this->suspendFor(SuspendedDuration);
   });
-  Reply Answer = this->Run.ask("n1", {"POST",
-                                      "/once/x",
-                                      "body",
-                                      {{"Host", "a.example"},
-                                       {"Authorization", "Bearer key-1"},
-                                       {"X-Request-Id", "r1"},
-                                       {"X-Deadline-Ms", "2700"}},
-                                      milliseconds(20000)});
+  Reply Response = this->Run.ask("n1", {"POST",
+                                        "/once/x",
+                                        "body",
+                                        {{"Host", "a.example"},
+                                         {"Authorization", "Bearer key-1"},
+                                         {"X-Request-Id", "r1"},
+                                         {"X-Deadline-Ms", "2700"}},
+                                        milliseconds(20000)});
   Suspended.join();
-  CHECK(Answer.Status == 504);
+  CHECK(Response.Status == 504);
 }
 
 } // namespace waycove::test
--- a/tests/unit/boot_clock_test.cpp
+++ b/tests/unit/boot_clock_test.cpp
@@ -2,7 +2,6 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Waits that end by the boot clock.
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +16,7 @@
   bool IsSet = false;
 };
 
-// A wait that looks again in slices must not end with the first of them.
+// waitUntil() must not return after the first of its internal wait intervals.
 TEST_CASE_METHOD(WaitFixture,
                  "wait: nothing comes: it ends at its time and not before",
                  "[unit]") {
