--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -21,7 +21,7 @@
 
   Name() = default;
   explicit Name(std::string Value) : Text(std::move(Value)) {}
-  // clang-tidy reports the defaulted operator. NOLINTNEXTLINE
+  // False positive in compiler-generated code. NOLINTNEXTLINE
   auto operator<=>(const Name &) const = default;
   bool empty() const { return this->Text.empty(); }
 };
@@ -32,7 +32,7 @@
 
   constexpr Number() = default;
   constexpr explicit Number(std::uint64_t Initial) : Value(Initial) {}
-  // clang-tidy reports the defaulted operator. NOLINTNEXTLINE
+  // False positive in compiler-generated code. NOLINTNEXTLINE
   auto operator<=>(const Number &) const = default;
   constexpr Number next() const { return Number(this->Value + 1); }
 };
@@ -63,7 +63,7 @@
   constexpr StorePosition() = default;
   constexpr StorePosition(StoreEra InEra, Offset AtOffset)
       : Era(InEra), At(AtOffset) {}
-  // clang-tidy reports the defaulted operator. NOLINTNEXTLINE
+  // False positive in compiler-generated code. NOLINTNEXTLINE
   auto operator<=>(const StorePosition &) const = default;
   constexpr StorePosition next() const { return {this->Era, this->At.next()}; }
 };
@@ -97,7 +97,7 @@
   VmId Id;
   /// Start time; zero if the VM does not report it.
   WallMs StartedAt;
-  // clang-tidy reports the defaulted operator. NOLINTNEXTLINE
+  // False positive in compiler-generated code. NOLINTNEXTLINE
   auto operator<=>(const VmIncarnation &) const = default;
 };
 
--- a/src/base/yaml.cpp
+++ b/src/base/yaml.cpp
@@ -113,11 +113,11 @@
   YAML::Node Child = this->child(Field, Required);
   if (!Child.IsDefined())
     return Default;
-  bool Good = Child.IsScalar() && !Child.Scalar().empty() &&
-              Child.Scalar().size() <= MaxBytes &&
-              std::all_of(Child.Scalar().begin(), Child.Scalar().end(),
-                          [](unsigned char C) { return C >= 32; });
-  if (!Good) {
+  bool Valid = Child.IsScalar() && !Child.Scalar().empty() &&
+               Child.Scalar().size() <= MaxBytes &&
+               std::all_of(Child.Scalar().begin(), Child.Scalar().end(),
+                           [](unsigned char C) { return C >= 32; });
+  if (!Valid) {
     this->Errors.add(Child, this->pathOf(Field),
                      "text of 1 to " + std::to_string(MaxBytes) +
                          " printable characters");
@@ -183,14 +183,14 @@
   if (!Child.IsDefined())
     return Values;
   if (!Child.IsSequence() || Child.size() > MaxList) {
-    this->Errors.add(Child, this->pathOf(Field), "a list of texts");
+    this->Errors.add(Child, this->pathOf(Field), "a list of strings");
     return Values;
   }
   for (const YAML::Node &Item : Child) {
     if (Item.IsScalar() && !Item.Scalar().empty())
       Values.push_back(Item.Scalar());
     else
-      this->Errors.add(Item, this->pathOf(Field), "a text");
+      this->Errors.add(Item, this->pathOf(Field), "a string");
   }
   return Values;
 }
--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -28,9 +28,9 @@
     : Config(Config), Self{Config.Node, Incarnation, Config.DataCentre,
                            hashNode(Config.Node, Incarnation)},
       Log(Config.Node, this->Clock), Idempotency(MaxStoredResponseBytes) {
-  this->Peers.write([&](PeerTable &Rows) {
-    Rows.LocalDataCentre = Config.DataCentre;
-    Rows.LivenessTimeout = std::max(Millis(600), 4 * Config.HeartbeatInterval);
+  this->Peers.write([&](PeerTable &Peers) {
+    Peers.LocalDataCentre = Config.DataCentre;
+    Peers.LivenessTimeout = std::max(Millis(600), 4 * Config.HeartbeatInterval);
   });
 }
 
@@ -41,44 +41,45 @@
 }
 
 bool Board::isGroupServing(Fence Group, TimePoint Now) const {
-  std::optional<GroupHealth> Row = this->Health.read(
-      [&](const HealthTable &Rows) { return Rows.find(Group); });
-  if (!Row || !Row->Ready)
+  std::optional<GroupHealth> Reported = this->Health.read(
+      [&](const HealthTable &Groups) { return Groups.find(Group); });
+  if (!Reported || !Reported->Ready)
     return false;
-  if (Row->Owner == this->Self.Hash)
+  if (Reported->Owner == this->Self.Hash)
     return this->hasFreshMemberState(Now);
-  return this->Peers.read([&](const PeerTable &Rows) {
-    const Peer *Owner = Rows.find(Row->Owner);
-    return Owner && Rows.isLive(Row->Owner, Now) && Owner->has(MembersFresh);
+  return this->Peers.read([&](const PeerTable &Peers) {
+    const Peer *Owner = Peers.find(Reported->Owner);
+    return Owner && Peers.isLive(Reported->Owner, Now) &&
+           Owner->has(MembersFresh);
   });
 }
 
 bool Board::isGroupBroken(Fence Group) const {
-  return this->Health.read([&](const HealthTable &Rows) {
-    std::optional<GroupHealth> Row = Rows.find(Group);
-    return Row && !Row->Ready;
+  return this->Health.read([&](const HealthTable &Groups) {
+    std::optional<GroupHealth> Reported = Groups.find(Group);
+    return Reported && !Reported->Ready;
   });
 }
 
 std::vector<NodeHash> Board::controllers(TimePoint Now) const {
-  std::vector<NodeHash> Rows = this->Peers.read([&](const PeerTable &Peers) {
+  std::vector<NodeHash> Nodes = this->Peers.read([&](const PeerTable &Peers) {
     std::vector<NodeHash> Found;
-    for (const Member &Row : Peers.liveMembers(Now))
-      if (Row.DataCentre == this->Self.DataCentre &&
-          !Peers.find(Row.Node)->has(StoppingNode))
-        Found.push_back(Row.Node);
+    for (const Member &Live : Peers.liveMembers(Now))
+      if (Live.DataCentre == this->Self.DataCentre &&
+          !Peers.find(Live.Node)->has(StoppingNode))
+        Found.push_back(Live.Node);
     return Found;
   });
   if (!this->Stopping)
-    Rows.push_back(this->Self.Hash);
-  return Rows;
+    Nodes.push_back(this->Self.Hash);
+  return Nodes;
 }
 
 std::vector<Member> Board::members(TimePoint Now) const {
-  std::vector<Member> Rows = this->Peers.read(
+  std::vector<Member> Live = this->Peers.read(
       [&](const PeerTable &Peers) { return Peers.liveMembers(Now); });
-  Rows.push_back({this->Self.Hash, this->Self.DataCentre});
-  return Rows;
+  Live.push_back({this->Self.Hash, this->Self.DataCentre});
+  return Live;
 }
 
 WallMs Board::leavingUntil(WallMs Now) {
--- a/src/board/peers.cpp
+++ b/src/board/peers.cpp
@@ -21,9 +21,9 @@
 
 bool PeerTable::recordHeartbeat(const wire::Heartbeat &Beat, TimePoint Now) {
   NodeHash Node(Beat.node());
-  if (this->Rows.size() >= MaxPeers && !this->Rows.contains(Node))
+  if (this->Peers.size() >= MaxPeers && !this->Peers.contains(Node))
     return false;
-  Peer &Known = this->Rows[Node];
+  Peer &Known = this->Peers[Node];
   if (Beat.sequence() <= Known.Sequence)
     return false;
   Known.Sequence = Beat.sequence();
@@ -36,9 +36,9 @@
 
 bool PeerTable::put(const wire::PeerRowT &Row, TimePoint Now, ChangeMark Mark) {
   NodeHash Node = hashNode(NodeId(Row.node), IncarnationId(Row.incarnation));
-  if (this->Rows.size() >= MaxPeers && !this->Rows.contains(Node))
+  if (this->Peers.size() >= MaxPeers && !this->Peers.contains(Node))
     return false;
-  Peer &Entry = this->Rows[Node];
+  Peer &Entry = this->Peers[Node];
   if (Entry.Known && Entry.Row.sequence >= Row.sequence)
     return false;
   Entry.Row = Row;
@@ -51,25 +51,25 @@
 }
 
 const Peer *PeerTable::find(NodeHash Node) const {
-  auto At = this->Rows.find(Node);
-  return At == this->Rows.end() ? nullptr : &At->second;
+  auto At = this->Peers.find(Node);
+  return At == this->Peers.end() ? nullptr : &At->second;
 }
 
 bool PeerTable::isLive(NodeHash Node, TimePoint Now) const {
-  const Peer *Row = this->find(Node);
-  if (!Row || !Row->Known || Row->Sequence == 0)
+  const Peer *Found = this->find(Node);
+  if (!Found || !Found->Known || Found->Sequence == 0)
     return false;
-  bool Remote = Row->Row.data_centre != this->LocalDataCentre.Text;
-  return Now - Row->LastHeartbeat <
+  bool Remote = Found->Row.data_centre != this->LocalDataCentre.Text;
+  return Now - Found->LastHeartbeat <
          (Remote ? RemoteTimeoutFactor * this->LivenessTimeout
                  : this->LivenessTimeout);
 }
 
 std::vector<Member> PeerTable::liveMembers(TimePoint Now) const {
   std::vector<Member> Found;
-  for (const auto &[Node, Row] : this->Rows)
+  for (const auto &[Node, Known] : this->Peers)
     if (this->isLive(Node, Now))
-      Found.push_back({Node, DataCentreId(Row.Row.data_centre)});
+      Found.push_back({Node, DataCentreId(Known.Row.data_centre)});
   return Found;
 }
 
@@ -81,16 +81,16 @@
 std::vector<NodeHash> PeerTable::servingNodes(const DataCentreId &DataCentre,
                                               TimePoint Now) const {
   std::vector<NodeHash> Found;
-  for (const auto &[Node, Row] : this->Rows)
-    if (this->isLive(Node, Now) && Row.Row.data_centre == DataCentre.Text &&
-        Row.has(Serving) && !Row.has(StoppingNode))
+  for (const auto &[Node, Known] : this->Peers)
+    if (this->isLive(Node, Now) && Known.Row.data_centre == DataCentre.Text &&
+        Known.has(Serving) && !Known.has(StoppingNode))
       Found.push_back(Node);
   return Found;
 }
 
 std::vector<NodeHash> PeerTable::sweep(TimePoint Now) {
   std::vector<NodeHash> Lost;
-  for (auto At = this->Rows.begin(); At != this->Rows.end();) {
+  for (auto At = this->Peers.begin(); At != this->Peers.end();) {
     bool Live = this->isLive(At->first, Now);
     bool &WasLive = this->WasLive[At->first];
     if (WasLive && !Live)
@@ -100,7 +100,7 @@
     if (Expired) {
       this->Incarnations.erase(IncarnationId(At->second.Row.incarnation));
       this->WasLive.erase(At->first);
-      At = this->Rows.erase(At);
+      At = this->Peers.erase(At);
     } else {
       ++At;
     }
@@ -109,7 +109,7 @@
 }
 
 bool HealthTable::put(Fence Group, const GroupHealth &Health) {
-  GroupHealth &Known = this->Rows[Group];
+  GroupHealth &Known = this->Groups[Group];
   if (Health.Version <= Known.Version)
     return false;
   Known = Health;
@@ -117,8 +117,8 @@
 }
 
 std::optional<GroupHealth> HealthTable::find(Fence Group) const {
-  auto At = this->Rows.find(Group);
-  if (At == this->Rows.end())
+  auto At = this->Groups.find(Group);
+  if (At == this->Groups.end())
     return std::nullopt;
   return At->second;
 }
--- a/src/board/peers.h
+++ b/src/board/peers.h
@@ -57,14 +57,14 @@
   /// Removes daemons that have been silent for long; returns those that stopped
   /// being live since the last call.
   std::vector<NodeHash> sweep(TimePoint Now);
-  const std::unordered_map<NodeHash, Peer> &rows() const { return this->Rows; }
+  const std::unordered_map<NodeHash, Peer> &rows() const { return this->Peers; }
   /// Time without heartbeats after which a daemon of this data centre is no
   /// longer live; longer for other data centres, whose heartbeats are rarer.
   Millis LivenessTimeout{3000};
   DataCentreId LocalDataCentre;
 
 private:
-  std::unordered_map<NodeHash, Peer> Rows;
+  std::unordered_map<NodeHash, Peer> Peers;
   std::unordered_map<IncarnationId, NodeHash> Incarnations;
   std::unordered_map<NodeHash, bool> WasLive;
 };
@@ -83,13 +83,13 @@
   /// Updates the health of \p Group; returns false if \p Health is not newer.
   bool put(Fence Group, const GroupHealth &Health);
   std::optional<GroupHealth> find(Fence Group) const;
-  void remove(Fence Group) { this->Rows.erase(Group); }
+  void remove(Fence Group) { this->Groups.erase(Group); }
   const std::unordered_map<Fence, GroupHealth> &rows() const {
-    return this->Rows;
+    return this->Groups;
   }
 
 private:
-  std::unordered_map<Fence, GroupHealth> Rows;
+  std::unordered_map<Fence, GroupHealth> Groups;
 };
 
 } // namespace waycove
--- a/src/main/commands.cpp
+++ b/src/main/commands.cpp
@@ -408,7 +408,7 @@
     absl::StatusOr<JsonObject> Body = Daemon.json("/operator/v1/events");
     if (!Body.ok()) {
       std::cerr << "waycove: " << Address.text()
-                << " skipped: " << messageOf(Body.status()) << "\n";
+                << " left out: " << messageOf(Body.status()) << "\n";
       continue;
     }
     Poco::JSON::Array::Ptr List = (*Body)->getArray("events");
