--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -140,14 +140,14 @@
   Result.LogLevel = readLevel(Map, Errors);
   Result.DefaultDeadline = readMillis(Map, "default_deadline_ms",
                                       Result.DefaultDeadline, 10, 3600000);
-  Result.TokenStall =
-      readMillis(Map, "token_stall_ms", Result.TokenStall, 10, 600000);
+  Result.TokenStallTimeout =
+      readMillis(Map, "token_stall_ms", Result.TokenStallTimeout, 10, 600000);
   Result.HeartbeatInterval =
       readMillis(Map, "heartbeat_ms", Result.HeartbeatInterval, 20, 10000);
   Result.PollInterval =
       readMillis(Map, "poll_ms", Result.PollInterval, 20, 10000);
-  Result.MemberDeadAfter = readMillis(Map, "member_dead_after_ms",
-                                      Result.MemberDeadAfter, 50, 600000);
+  Result.MemberTimeout =
+      readMillis(Map, "member_dead_after_ms", Result.MemberTimeout, 50, 600000);
   Result.ConnectTimeout =
       readMillis(Map, "connect_timeout_ms", Result.ConnectTimeout, 10, 60000);
   Result.DrainTimeout =
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -72,10 +72,10 @@
   std::string OperatorKeyDigest;
   Severity LogLevel = Severity::Info;
   Millis DefaultDeadline{60000};
-  Millis TokenStall{2000};
+  Millis TokenStallTimeout{2000};
   Millis HeartbeatInterval{500};
   Millis PollInterval{300};
-  Millis MemberDeadAfter{1500};
+  Millis MemberTimeout{1500};
   Millis ConnectTimeout{500};
   Millis DrainTimeout{30000};
   std::size_t MaxStreams = 2000;
--- a/src/control/members.cpp
+++ b/src/control/members.cpp
@@ -84,7 +84,7 @@
     return false;
   TimePoint Since =
       Row->EverHeard ? std::max(Row->Heard, Row->AskedSince) : Row->AskedSince;
-  return Now - Since > this->Config.MemberDeadAfter;
+  return Now - Since > this->Config.MemberTimeout;
 }
 
 void MemberBook::restart(TimePoint Now) {
--- a/src/edge/serve_model.h
+++ b/src/edge/serve_model.h
@@ -90,7 +90,7 @@
         Have.Count,
         Have.Text,
         Request.Priority,
-        this->Tables.Config.TokenStall,
+        this->Tables.Config.TokenStallTimeout,
         Request.Deadline};
     EngineDone Done;
     AttemptEnd End = this->Models.generate(
