--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -225,14 +225,14 @@
   /// and the generation, so the fence alone does not separate the two.
   static std::uint64_t firstFloor(const DomainView &View) {
     std::uint64_t Seen = 0;
-    auto Note = [&](const TargetInfo &Target) {
+    auto Include = [&](const TargetInfo &Target) {
       if (Target.Group)
         Seen = std::max(Seen, Target.Group->Group.Epoch);
     };
     for (const TargetRef &Target : View.Targets)
-      Note(*Target);
+      Include(*Target);
     for (const RemovedTarget &Target : View.Removed)
-      Note(*Target.Last);
+      Include(*Target.Last);
     return Seen < View.EpochFloor ? View.EpochFloor : Seen + UnseenEpochs;
   }
 
