--- a/src/control/config_follower.h
+++ b/src/control/config_follower.h
@@ -35,7 +35,8 @@
   static constexpr Millis ProofMargin{150};
 
   Millis pollTimeout() const {
-    return EntryBoard::partOf(this->Board.Config.Entry->RevokeBound, PollPart);
+    return EntryBoard::fractionOf(this->Board.Config.Entry->RevokeBound,
+                                  PollPart);
   }
 
   void applyPage(const KeyedPage &Page) {
@@ -49,7 +50,7 @@
     // Nodes that start and see only the older version must not use it.
     if (!Page.Versions.isLost())
       this->Board.feed(FeedKind::Config).settle(Page.Next.Era, Page.ProvenAt);
-    this->Board.ConfigFresh.renew(
+    this->Board.ConfigLease.renew(
         Page.ProvenAt, this->Board.Config.Entry->RevokeBound - ProofMargin);
   }
 
@@ -64,24 +65,24 @@
   /// nothing is served, until operators have written again.
   void updateLost(const VersionMarks &Versions) {
     bool IsLost = Versions.isLost();
-    this->MinVersion = IsLost ? Versions.Before.Value : 0;
+    this->MinVersion = IsLost ? Versions.Previous.Value : 0;
     if (std::exchange(this->WasLost, IsLost) != IsLost)
       this->Board.Log.emit(IsLost ? EventCode::ConfigLost
                                   : EventCode::ConfigWrittenAgain,
                            Decoder::Key,
                            LogFields()
                                .add("in_force", this->inForce())
-                               .add("before", Versions.Before.Value)
-                               .add("shown", Versions.Shown.Value));
+                               .add("before", Versions.Previous.Value)
+                               .add("shown", Versions.Current.Value));
     if (this->inForce() >= this->MinVersion)
       return;
-    this->Board.ConfigFresh.drop();
+    this->Board.ConfigLease.drop();
     this->Board.Routing.write([](RoutingConfigRef &Row) { Row.reset(); });
     rebuildServingView(this->Board);
   }
 
   void updateProof() {
-    bool IsProven = this->Board.ConfigFresh.holds(SystemClock{}.now());
+    bool IsProven = this->Board.ConfigLease.holds(SystemClock{}.now());
     if (std::exchange(this->WasProven, IsProven) != IsProven)
       this->Board.Log.emit(IsProven ? EventCode::ConfigProven
                                     : EventCode::ConfigUnproven,
--- a/src/control/domain_views.cpp
+++ b/src/control/domain_views.cpp
@@ -18,7 +18,7 @@
 bool owns(const EntryBoard &Board, const PartitionAssignment &Assignment,
           const DomainId &Domain) {
   std::uint64_t Partition =
-      hashText(Domain.Text) % Board.Config.Entry->WorkParts;
+      hashText(Domain.Text) % Board.Config.Entry->PartitionCount;
   return std::find(Assignment.Partitions.begin(), Assignment.Partitions.end(),
                    Partition) != Assignment.Partitions.end();
 }
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -59,7 +59,7 @@
 
   /// Throws Poco::Exception where an address is taken.
   void start() {
-    this->Board.FillAwaited.renew(
+    this->Board.InitialFillLease.renew(
         SystemClock{}.now(),
         this->Board.Config.Entry->FirstStart ? FirstFillTimeout : FillTimeout);
     this->Ready.start(this->Board.Config.Entry->Ready);
@@ -145,7 +145,7 @@
   /// 7 nodes, 6 s of nothing in a day of 34 s.
   bool mayUseKeys() const {
     return !this->Board.Config.Entry->RevokeFailClosed ||
-           this->Board.ConfigFresh.holds(SystemClock{}.now());
+           this->Board.ConfigLease.holds(SystemClock{}.now());
   }
 
   /// Ready while it could serve: it has a configuration in force, may use its
@@ -167,15 +167,19 @@
   }
 
   void sweep() {
-    std::set<VmLife> Listed = this->Board.Targets.read([](const Fleet &Rows) {
-      std::set<VmLife> Lives;
-      for (const auto &[Id, Row] : Rows.Targets)
-        Lives.insert(Row->life());
-      return Lives;
-    });
-    auto IsListed = [&](const VmLife &Life) { return Listed.contains(Life); };
+    std::set<VmIncarnation> Listed =
+        this->Board.Targets.read([](const Fleet &Rows) {
+          std::set<VmIncarnation> Lives;
+          for (const auto &[Id, Row] : Rows.Targets)
+            Lives.insert(Row->incarnation());
+          return Lives;
+        });
+    auto IsListed = [&](const VmIncarnation &Life) {
+      return Listed.contains(Life);
+    };
     this->Pool.sweep(IsListed, SystemClock{}.now());
-    this->Board.Vitals.write([&](VitalsTable &Rows) { Rows.forget(IsListed); });
+    this->Board.TargetStats.write(
+        [&](VitalsTable &Rows) { Rows.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Rows) {
       for (auto &[Model, Row] : Rows)
         Row = Row.scaled(DemandDecay);
@@ -186,7 +190,7 @@
 
   /// How many calls to the store were made, and why, while any are.
   void logStoreCalls() {
-    std::uint64_t Calls = this->Board.Counters.Calls.sum();
+    std::uint64_t Calls = this->Board.Counters.Calls.total();
     if (std::exchange(this->LoggedCalls, Calls) != Calls)
       this->Board.Log.emit(EventCode::StoreCallsMade,
                            this->Board.Config.Node.Text,
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -27,7 +27,7 @@
   /// used for another request.
   bool serve(Channel &Caller, RelayRequest Request) {
     this->Board.InFlight.fetch_add(1);
-    this->Board.Requested = true;
+    this->Board.RequestSeen = true;
     bool Keep = Request.Head.getKeepAlive() && !this->Board.Stopping;
     CallerResponse Response(Caller, Keep, Request.Head.getMethod() != "HEAD");
     RelayProgress Progress;
@@ -95,7 +95,7 @@
                      TimePoint ChosenAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
-    const VmLife Life = To.Target->life();
+    const VmIncarnation Life = To.Target->incarnation();
     Ex.Progress.Tried.push_back(Life.Id);
     if (!this->connect(Ex, Attempt)) {
       this->Log.suspectTarget(Life, UnreachableTime, Attempt.Reason,
@@ -111,15 +111,16 @@
     }
     auto Prompt = static_cast<double>(Ex.Request.Info.PromptTokens);
     Attempt.LastByte = Attempt.SentAt;
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onStart(Life, Prompt, Attempt.SentAt);
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onStart(Life, Prompt, Attempt.SentAt);
     });
     AttemptEnd End = this->exchange(Ex, Attempt);
     this->Policy.recordOutcome(Ex.Request, Attempt, End, SystemClock{}.now());
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onEnd(Life, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onEnd(Life, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
       if (End != AttemptEnd::CallerGone)
-        Vitals.onOutcome(Life, End == AttemptEnd::Broken, SystemClock{}.now());
+        TargetStats.onOutcome(Life, End == AttemptEnd::Broken,
+                              SystemClock{}.now());
     });
     // What a cut still holds up must not be delivered seconds later, to a
     // target that has left by then: a reset takes it back, an end in good order
@@ -134,7 +135,8 @@
     // A kept connection may just be closing; what cannot be repeated is not
     // put at that risk.
     if (Ex.Request.Route->mayRepeat())
-      Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
+      Attempt.Connection =
+          this->Pool.take(Attempt.To.Target->incarnation(), Now);
     if (Attempt.Connection)
       return true;
     IoStatus End = Channel::connect(
@@ -225,7 +227,7 @@
   }
 
   void refuse(RelayExchange Ex, const absl::Status &Why) {
-    const ErrorAnswer &Row = answerFor(kindOf(Why));
+    const ErrorResponse &Row = responseFor(kindOf(Why));
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Row.HttpStatus));
     Out.setContentType("application/json");
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -30,7 +30,7 @@
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Given = *this->Board.Config.Entry;
-  this->Board.Spend.write([&](SpendTable &Rows) {
+  this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     Rows.try_emplace(Service, RetryAllowance{Given.RetryRatio, Given.RetrySlack,
                                              Given.RetryWindow})
         .first->second.onRequest(SystemClock{}.now());
@@ -75,7 +75,7 @@
                                 TimePoint Now) {
   if (End == AttemptEnd::Broken && Attempt.ConnectionLost)
     this->Board.Crashes.write([&](CrashBlame &Rows) {
-      Rows.noteLost(Request.Content, Attempt.To.Target->life(), Now);
+      Rows.noteLost(Request.Content, Attempt.To.Target->incarnation(), Now);
     });
   else if (End == AttemptEnd::Done && Attempt.Succeeded)
     this->Board.Crashes.write(
@@ -86,7 +86,7 @@
                                                 const RelayProgress &Progress,
                                                 TimePoint Now) {
   // Before the view: an age must not be understated.
-  TimePoint ProvenAt = this->Board.RegistryProven.get();
+  TimePoint ProvenAt = this->Board.RegistryProvenAt.get();
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
   auto Rows = View->ByService.find(Request.Service);
@@ -103,9 +103,10 @@
   Query.Now = Now;
   Query.RegistryOld = RegistryOld;
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
-  return this->Board.Vitals.read(
-      [&](const VitalsTable &Vitals) -> std::optional<ChosenTarget> {
-        const ServingTarget *Row = chooseTarget(Rows->second, Vitals, Query);
+  return this->Board.TargetStats.read(
+      [&](const VitalsTable &TargetStats) -> std::optional<ChosenTarget> {
+        const ServingTarget *Row =
+            chooseTarget(Rows->second, TargetStats, Query);
         if (!Row)
           return std::nullopt;
         return ChosenTarget{
@@ -139,22 +140,22 @@
     return false;
   std::optional<ChosenTarget> Other = this->choose(Request, After, Now);
   return Other && this->hasRetryLeft(Request.Service, Now) &&
-         this->Board.Vitals.read([&](const VitalsTable &Vitals) {
-           return !Vitals.isSuspect(Other->To.Target->life(), Now);
+         this->Board.TargetStats.read([&](const VitalsTable &TargetStats) {
+           return !TargetStats.isSuspect(Other->To.Target->incarnation(), Now);
          });
 }
 
 bool RelayPolicy::hasRetryLeft(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  return this->Board.Spend.write([&](SpendTable &Rows) {
+  double Share = this->Board.perNodeShare();
+  return this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     auto At = Rows.find(Service);
     return At != Rows.end() && At->second.allows(Share, Now);
   });
 }
 
 bool RelayPolicy::takeRetry(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  bool Taken = this->Board.Spend.write([&](SpendTable &Rows) {
+  double Share = this->Board.perNodeShare();
+  bool Taken = this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     auto At = Rows.find(Service);
     return At != Rows.end() && At->second.take(Share, Now);
   });
--- a/src/policy/domain_review.cpp
+++ b/src/policy/domain_review.cpp
@@ -59,7 +59,7 @@
 MemberStatus DomainPlanner::statusOf(const Step &S, const RemovedTarget &Row) {
   // Asked for as long as it matters: who is cut off now may die later.
   this->StatusQueries.push_back(Row);
-  auto At = S.View.Statuses.find(Row.Last->life());
+  auto At = S.View.Statuses.find(Row.Last->incarnation());
   return At == S.View.Statuses.end() ? MemberStatus::Unknown : At->second;
 }
 
@@ -103,9 +103,9 @@
 void DomainPlanner::releaseMembers(Step &S, const GroupKey &Key,
                                    const AnnouncedGroup &Row) {
   for (const auto &[Rank, Vm] : Row.Ranks) {
-    if (this->LeftMembers.contains({Key, Vm->life()}))
+    if (this->LeftMembers.contains({Key, Vm->incarnation()}))
       continue;
-    S.Busy.insert(Vm->life());
+    S.Busy.insert(Vm->incarnation());
     this->addOrder(S, OrderKind::Leave, Vm, Key, "its head is lost");
   }
 }
@@ -131,7 +131,7 @@
     // An earlier owner's, still loading: give it time once.
     FormingGroup Adopted{Model->Name, {}, Now, formTimeout(Model->LoadTime)};
     for (const auto &[Rank, Vm] : Row.Ranks)
-      Adopted.Members.push_back(Vm->life());
+      Adopted.Members.push_back(Vm->incarnation());
     if (!Whole)
       Adopted.Timeout = OrderVisibilityTimeout;
     Mine = this->Pending.emplace(Key, std::move(Adopted)).first;
@@ -163,10 +163,10 @@
 void DomainPlanner::dropStaleForming(Step &S) {
   std::erase_if(this->Pending, [&](const auto &Entry) {
     const auto &[Key, Row] = Entry;
-    auto Listed = [&](const VmLife &Life) {
+    auto Listed = [&](const VmIncarnation &Life) {
       return std::any_of(S.View.Targets.begin(), S.View.Targets.end(),
                          [&](const TargetRef &T) {
-                           return T->life() == Life && S.isUsable(*T);
+                           return T->incarnation() == Life && S.isUsable(*T);
                          });
     };
     bool Late = !S.Groups.contains(Key) &&
@@ -175,7 +175,7 @@
       this->AbandonedGroups.insert(Key);
       return true;
     }
-    for (const VmLife &Life : Row.Members)
+    for (const VmIncarnation &Life : Row.Members)
       S.Busy.insert(Life);
     auto Shown = S.Groups.find(Key);
     if (Shown == S.Groups.end() || !Shown->second.AllReady ||
