--- a/src/control/claims.h
+++ b/src/control/claim_binder.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/submit.h"
+#include "control/submitter.h"
 
 #include <condition_variable>
 
@@ -15,8 +15,8 @@
 /// The log takes a few hundred appends a second from all daemons together. So
 /// each waits between two batches, the longer the more daemons there are: all
 /// of them stay below 250 batches a second, and what grows is the batch.
-constexpr Millis ClaimBatchPause(20);
-constexpr Millis ClaimPausePerDaemon(4);
+constexpr Millis ClaimBatchInterval(20);
+constexpr Millis ClaimIntervalPerDaemon(4);
 
 /// Binds idempotency keys to dispatchers through the log, many in one record.
 /// Where the log came back from an older copy meanwhile, another dispatcher may
@@ -36,7 +36,7 @@
     if (!this->Tables.LogUp || this->Tables.Restoring)
       return makeError(ErrorKind::LogUnavailable, "the log does not answer",
                        Millis(1000));
-    auto Entry = std::make_shared<Waiter>();
+    auto Entry = std::make_shared<PendingClaim>();
     Entry->Id = Id;
     Entry->Issued = Issued;
     std::unique_lock Lock(this->Mutex);
@@ -52,12 +52,12 @@
   }
 
 private:
-  struct Waiter {
+  struct PendingClaim {
     ClaimId Id;
     WallMs Issued;
     std::optional<absl::StatusOr<IncarnationId>> Result;
   };
-  using Batch = std::vector<std::shared_ptr<Waiter>>;
+  using Batch = std::vector<std::shared_ptr<PendingClaim>>;
 
   void run(const std::stop_token &Stop) {
     while (!Stop.stop_requested()) {
@@ -82,7 +82,7 @@
         Outcome = makeError(ErrorKind::LogUnavailable,
                             "the log came back from an older copy");
       }
-      this->settle(Rows, Outcome);
+      this->setResults(Rows, Outcome);
       std::this_thread::sleep_for(this->pause());
     }
   }
@@ -103,8 +103,8 @@
   Millis pause() const {
     std::size_t Daemons = this->Tables.Peers.read(
         [](const PeerTable &Rows) { return Rows.rows().size() + 1; });
-    return std::max(ClaimBatchPause,
-                    static_cast<std::int64_t>(Daemons) * ClaimPausePerDaemon);
+    return std::max(ClaimBatchInterval, static_cast<std::int64_t>(Daemons) *
+                                            ClaimIntervalPerDaemon);
   }
 
   Batch nextBatch(const std::stop_token &Stop) {
@@ -118,7 +118,8 @@
     return Rows;
   }
 
-  void settle(const Batch &Rows, const absl::StatusOr<FoldOutcome> &Outcome) {
+  void setResults(const Batch &Rows,
+                  const absl::StatusOr<FoldOutcome> &Outcome) {
     std::lock_guard Lock(this->Mutex);
     for (std::size_t I = 0; I < Rows.size(); ++I) {
       if (!Outcome.ok() || Outcome->Holders.size() != Rows.size())
--- a/src/control/grouper.h
+++ b/src/control/group_controller.h
@@ -4,8 +4,8 @@
 
 #pragma once
 
-#include "control/members.h"
-#include "control/submit.h"
+#include "control/member_reports.h"
+#include "control/submitter.h"
 #include "policy/rendezvous.h"
 
 #include <set>
@@ -13,34 +13,36 @@
 namespace waycove {
 
 /// A round later than this shows that the process was paused.
-constexpr Millis PauseAfter(1200);
+constexpr Millis PauseThreshold(1200);
 /// A VM that did not answer is not proposed again for this long.
-constexpr Millis SuspectFor(8000);
+constexpr Millis SuspectDuration(8000);
 /// A group whose member leaves in a planned way is replaced once it was idle
 /// for this long, so that requests on their way to it still find it.
 constexpr Millis IdleBeforeReplace(2500);
 constexpr Millis ProposalTimeout(4000);
-constexpr std::size_t PollWorkers = 16;
-constexpr std::size_t ProposalWorkers = 4;
+constexpr std::size_t PollThreads = 16;
+constexpr std::size_t ProposalThreads = 4;
 
 /// Controls this daemon's share of the data centre's groups: forms them by
 /// records in the log, orders their members to load under the fence, asks the
 /// members how they are, and publishes which groups serve. The share follows
 /// from rendezvous hashing over the live daemons; should two daemons hold the
 /// same slot for a while, the log accepts one proposal and refuses the other.
-template <EngineControl Engine, LogService Service> class Grouper {
+template <EngineControl Engine, LogService Service> class GroupController {
 public:
-  Grouper(Board &Tables, Submitter<Service> &Submit, Engine &Targets)
-      : Tables(Tables), Submit(Submit), Targets(Targets), Book(Tables.Config),
-        Polls(PollWorkers), Proposals(ProposalWorkers) {}
+  GroupController(Board &Tables, Submitter<Service> &Submit, Engine &Targets)
+      : Tables(Tables), Submit(Submit), Targets(Targets),
+        Reports(Tables.Config), Polls(PollThreads), Proposals(ProposalThreads) {
+  }
 
   /// One round.
   void step(TimePoint Now) {
     if (!this->Tables.Ready)
       return;
     // 1. After a pause, neither what was heard nor who owns what is known.
-    if (this->LastStep != TimePoint() && Now - this->LastStep > PauseAfter) {
-      this->Book.restart(Now);
+    if (this->LastStep != TimePoint() &&
+        Now - this->LastStep > PauseThreshold) {
+      this->Reports.invalidate(Now);
       this->HoldUntil =
           Now + this->Tables.Peers.read([](const PeerTable &Peers) {
             return Peers.LivenessTimeout;
@@ -51,23 +53,24 @@
     this->Tables.LastRound =
         std::chrono::duration_cast<Millis>(Now.time_since_epoch()).count();
     // 2. Look.
-    std::vector<Job> Jobs = this->collect(Now);
-    this->poll(Jobs, Now);
+    std::vector<SlotTask> Tasks = this->collect(Now);
+    this->poll(Tasks, Now);
     // 3. Publish which groups serve, and order those that do not.
-    for (const Job &Row : Jobs)
+    for (const SlotTask &Row : Tasks)
       if (Row.Present) {
-        GroupVerdict Verdict = this->Book.judge(*Row.Present, Now);
+        GroupReadiness Verdict =
+            this->Reports.checkReadiness(*Row.Present, Now);
         this->publish(*Row.Present, Verdict);
         if (!Verdict.Ready && Row.Mine)
           this->orderMembers(Row, Now);
       }
     // 4. Form and repair.
     if (Now >= this->HoldUntil)
-      this->plan(Jobs, Now);
+      this->plan(Tasks, Now);
   }
 
 private:
-  struct Job {
+  struct SlotTask {
     SlotKey Place;
     std::shared_ptr<const Object> Owner;
     std::optional<Group> Present;
@@ -81,10 +84,10 @@
   }
 
   /// Slots that are this daemon's, and groups whose published health is.
-  std::vector<Job> collect(TimePoint Now) {
+  std::vector<SlotTask> collect(TimePoint Now) {
     std::vector<NodeHash> Live = this->Tables.controllers(Now);
     const DataCentreId &Here = this->Tables.Self.DataCentre;
-    std::vector<Job> Jobs;
+    std::vector<SlotTask> Tasks;
     this->Tables.State.read([&](const FoldState &State) {
       for (const auto &[Key, Row] : State.objects()) {
         const auto *Spec = Row->template as<Deployment>();
@@ -95,7 +98,7 @@
           if (rendezvousOwner(Live, slotHash(Place)) ==
                   this->Tables.Self.Hash &&
               !State.groupAt(Place))
-            Jobs.push_back({Place, Row, std::nullopt, true, false});
+            Tasks.push_back({Place, Row, std::nullopt, true, false});
         }
       }
       for (const auto &[Id, Formed] : State.groups()) {
@@ -108,35 +111,35 @@
                         Row->template as<Deployment>()->replicasIn(Here);
         bool Mine = rendezvousOwner(Live, slotHash(Formed.Place)) ==
                     this->Tables.Self.Hash;
-        if (Mine || this->publishedHere(Id))
-          Jobs.push_back({Formed.Place, Row, Formed, Mine, Surplus});
+        if (Mine || this->isPublishedHere(Id))
+          Tasks.push_back({Formed.Place, Row, Formed, Mine, Surplus});
       }
     });
-    return Jobs;
+    return Tasks;
   }
 
   /// Health that this daemon published stays its business until another
   /// daemon has published newer.
-  bool publishedHere(Fence Id) const {
+  bool isPublishedHere(Fence Id) const {
     return this->Tables.Health.read([&](const HealthTable &Rows) {
       std::optional<GroupHealth> Row = Rows.find(Id);
       return Row && Row->Owner == this->Tables.Self.Hash;
     });
   }
 
-  void poll(const std::vector<Job> &Jobs, TimePoint Now) {
+  void poll(const std::vector<SlotTask> &Tasks, TimePoint Now) {
     std::set<VmId> Wanted;
-    for (const Job &Row : Jobs)
+    for (const SlotTask &Row : Tasks)
       if (Row.Present)
         Wanted.insert(Row.Present->Vms.begin(), Row.Present->Vms.end());
-    this->Book.keep(Wanted);
+    this->Reports.retainOnly(Wanted);
     for (const VmId &Vm : Wanted) {
       std::optional<VmAddress> Address = this->addressOf(Vm);
-      if (!Address || !this->Book.beginPoll(Vm, Now))
+      if (!Address || !this->Reports.beginPoll(Vm, Now))
         continue;
       this->Polls.post([this, Vm, At = *Address] {
         absl::StatusOr<MemberReport> Report = this->Targets.report(At);
-        this->Book.endPoll(Vm, Report, SystemClock{}.now());
+        this->Reports.endPoll(Vm, Report, SystemClock{}.now());
         if (Report.ok()) {
           this->Tables.Load.write([&](LoadTable &Load) {
             Load.onReport(hashVm(Vm), Report->Queue, SystemClock{}.now());
@@ -170,7 +173,7 @@
         });
   }
 
-  void publish(const Group &Formed, const GroupVerdict &Verdict) {
+  void publish(const Group &Formed, const GroupReadiness &Verdict) {
     std::optional<GroupHealth> Old = this->Tables.Health.read(
         [&](const HealthTable &Rows) { return Rows.find(Formed.Id); });
     bool Mine = Old && Old->Owner == this->Tables.Self.Hash;
@@ -194,18 +197,18 @@
         Verdict.Ready ? "" : Verdict.Member.Text + ": " + Verdict.Reason);
   }
 
-  void orderMembers(const Job &Row, TimePoint Now) {
+  void orderMembers(const SlotTask &Row, TimePoint Now) {
     if (Row.Surplus || Now < this->HoldUntil)
       return;
     const auto *Spec = Row.Owner->template as<Deployment>();
     const Group &Formed = *Row.Present;
     for (std::size_t Rank = 0; Rank < Formed.Vms.size(); ++Rank) {
       const VmId &Vm = Formed.Vms[Rank];
-      std::optional<MemberState> State = this->Book.find(Vm);
+      std::optional<MemberRecord> State = this->Reports.find(Vm);
       bool Obeys =
-          State && State->EverHeard && State->Report.Group == Formed.Id;
+          State && State->HasReport && State->Report.Group == Formed.Id;
       std::optional<VmAddress> Address = this->addressOf(Vm);
-      if (Obeys || !Address || !this->Book.beginOrder(Vm, Now))
+      if (Obeys || !Address || !this->Reports.beginOrder(Vm, Now))
         continue;
       EngineOrder Order{*Address,    Formed.Id,     Row.Place.Deployment.Text,
                         Spec->Model, Spec->Version, Rank,
@@ -237,7 +240,7 @@
           bool Usable = Own && Own->matches(Joined) &&
                         !Drains.covers(Vm, Joined) &&
                         !Vms.isLeaving(Vm, Wall) && !this->isSuspect(Vm, Now) &&
-                        !this->Book.isDead(Vm, Now);
+                        !this->Reports.isDead(Vm, Now);
           Rows.push_back({Vm, Info.Domain, Usable, Now2.Stamp, Now2.Group});
         }
       });
@@ -251,10 +254,10 @@
     return At != this->Suspects.end() && At->second > Now;
   }
 
-  void plan(const std::vector<Job> &Jobs, TimePoint Now) {
+  void plan(const std::vector<SlotTask> &Tasks, TimePoint Now) {
     std::map<std::string, PlanPool> Pools;
-    for (const Job &Row : Jobs) {
-      if (!Row.Mine || !this->mayPlan(Row, Now))
+    for (const SlotTask &Row : Tasks) {
+      if (!Row.Mine || !this->canChange(Row, Now))
         continue;
       std::optional<Proposal> Plan;
       if (Row.Surplus) {
@@ -277,25 +280,25 @@
 
   /// Whether the slot may be changed now: no proposal is under way, something
   /// is wrong with its group, and no request in flight would be cut.
-  bool mayPlan(const Job &Row, TimePoint Now) {
+  bool canChange(const SlotTask &Row, TimePoint Now) {
     {
       std::lock_guard Lock(this->Mutex);
-      if (this->UnderWay.contains(Row.Place))
+      if (this->PendingProposals.contains(Row.Place))
         return false;
     }
     if (!Row.Present)
       return true;
-    GroupVerdict Verdict = this->Book.judge(*Row.Present, Now);
+    GroupReadiness Verdict = this->Reports.checkReadiness(*Row.Present, Now);
     if (!Verdict.Ready)
-      return this->anyUnusable(Row, Now) || Row.Surplus;
+      return this->hasUnusableMember(Row, Now) || Row.Surplus;
     // The group is whole: it is changed only on purpose, and when idle.
-    if (!Row.Surplus && !this->anyUnusable(Row, Now)) {
+    if (!Row.Surplus && !this->hasUnusableMember(Row, Now)) {
       this->IdleSince.erase(Row.Present->Id);
-      this->LeavingSince.erase(Row.Present->Id);
+      this->UnusableSince.erase(Row.Present->Id);
       return false;
     }
-    auto [Began, Fresh] = this->LeavingSince.try_emplace(Row.Present->Id, Now);
-    std::optional<MemberState> Head = this->Book.find(Row.Present->Vms[0]);
+    auto [Began, Fresh] = this->UnusableSince.try_emplace(Row.Present->Id, Now);
+    std::optional<MemberRecord> Head = this->Reports.find(Row.Present->Vms[0]);
     if (!Head || Head->Report.Running > 0)
       this->IdleSince[Row.Present->Id] = Now;
     auto [Idle, Started] = this->IdleSince.try_emplace(Row.Present->Id, Now);
@@ -303,7 +306,7 @@
     return Over || Now - Idle->second > IdleBeforeReplace;
   }
 
-  bool anyUnusable(const Job &Row, TimePoint Now) {
+  bool hasUnusableMember(const SlotTask &Row, TimePoint Now) {
     WallMs Wall = SystemClock{}.wall();
     return this->Tables.State.read([&](const FoldState &State) {
       DrainSet Drains(State);
@@ -312,7 +315,7 @@
           const VmInfo *Info = Vms.find(Vm);
           if (!Info || Vms.isLeaving(Vm, Wall) ||
               Drains.covers(Vm, effectiveLabels(*Info, State)) ||
-              this->Book.isDead(Vm, Now))
+              this->Reports.isDead(Vm, Now))
             return true;
         }
         return false;
@@ -323,18 +326,18 @@
   void propose(const Proposal &Plan, TimePoint Now) {
     {
       std::lock_guard Lock(this->Mutex);
-      this->UnderWay.insert(Plan.Place);
+      this->PendingProposals.insert(Plan.Place);
     }
     this->Proposals.post([this, Plan, Now] {
-      if (this->allAnswer(Plan, Now))
+      if (this->allRespond(Plan, Now))
         this->append(Plan);
       std::lock_guard Lock(this->Mutex);
-      this->UnderWay.erase(Plan.Place);
+      this->PendingProposals.erase(Plan.Place);
     });
   }
 
   /// Asks the VMs of \p Plan whether they live, for the list lags.
-  bool allAnswer(const Proposal &Plan, TimePoint Now) {
+  bool allRespond(const Proposal &Plan, TimePoint Now) {
     bool All = true;
     for (const PlanVm &Row : Plan.Vms) {
       std::optional<VmAddress> Address = this->addressOf(Row.Vm);
@@ -342,7 +345,7 @@
         continue;
       All = false;
       std::lock_guard Lock(this->Mutex);
-      this->Suspects[Row.Vm] = Now + SuspectFor;
+      this->Suspects[Row.Vm] = Now + SuspectDuration;
     }
     return All;
   }
@@ -374,14 +377,14 @@
   Board &Tables;
   Submitter<Service> &Submit;
   Engine &Targets;
-  MemberBook Book;
+  MemberReports Reports;
   TimePoint LastStep;
   TimePoint HoldUntil;
   std::unordered_map<Fence, TimePoint> IdleSince;
-  std::unordered_map<Fence, TimePoint> LeavingSince;
+  std::unordered_map<Fence, TimePoint> UnusableSince;
   std::mutex Mutex;
   std::unordered_map<VmId, TimePoint> Suspects;
-  std::set<SlotKey> UnderWay;
+  std::set<SlotKey> PendingProposals;
   // The pools go first: their tasks use all of the above.
   WorkerPool Polls;
   WorkerPool Proposals;
--- a/src/control/follow.h
+++ b/src/control/log_follower.h
@@ -4,8 +4,8 @@
 
 #pragma once
 
-#include "control/folder.h"
 #include "control/log.h"
+#include "control/record_folder.h"
 #include "policy/rendezvous.h"
 #include "policy/rewrite.h"
 
@@ -14,18 +14,18 @@
 namespace waycove {
 
 /// Records read from the log in one call.
-constexpr std::size_t ReadBatch = 512;
-constexpr Millis LongPoll(1000);
-constexpr Millis UnreachablePause(200);
+constexpr std::size_t MaxReadBatch = 512;
+constexpr Millis LongPollTimeout(1000);
+constexpr Millis UnreachableRetryInterval(200);
 /// Data centres with more daemons than this leave the reading to their relays,
 /// and the others learn records from their peers.
-constexpr std::size_t EveryoneReadsUpTo = 9;
-constexpr Millis FallbackRead(5000);
+constexpr std::size_t MaxDirectReaders = 9;
+constexpr Millis FallbackReadInterval(5000);
 /// For each daemon to notice that the log came back from an older copy, by its
 /// long poll, and to write again what that lost: a call's time-out later.
-constexpr Millis WriteAgainTime(3000);
+constexpr Millis RewriteGracePeriod(3000);
 /// Between two tries to write the same record again.
-constexpr Millis WriteAgainPause(500);
+constexpr Millis RewriteRetryInterval(500);
 
 /// Reads the platform's log and folds it; loads a checkpoint where the log has
 /// forgotten what comes next, and writes one now and then. Where the log came
@@ -33,9 +33,9 @@
 /// lost, and has the daemon take requests when all daemons had the time to: a
 /// key that one of them had claimed must not be claimed anew, and no older
 /// configuration comes in force.
-template <LogService Service> class Follower {
+template <LogService Service> class LogFollower {
 public:
-  Follower(Board &Tables, Folder &Fold, Service &Platform)
+  LogFollower(Board &Tables, RecordFolder &Fold, Service &Platform)
       : Tables(Tables), Fold(Fold), Platform(Platform) {}
 
   /// One read and what follows from it. Returns how long to pause.
@@ -43,17 +43,17 @@
     // 1. Peers pass records on; only some need to ask the log.
     TimePoint Now = SystemClock{}.now();
     if (this->Tables.Ready && !this->readsLog(Now) &&
-        Now - this->LastRead < FallbackRead)
+        Now - this->LastRead < FallbackReadInterval)
       return Millis(50);
     this->LastRead = Now;
     // 2. Read.
     Offset From = this->Fold.next();
     absl::StatusOr<LogPage> Page =
-        this->Platform.read(LogStream::Records, From, ReadBatch,
-                            this->Tables.Ready ? LongPoll : Millis(0));
-    this->noteReachable(Page.status());
+        this->Platform.read(LogStream::Records, From, MaxReadBatch,
+                            this->Tables.Ready ? LongPollTimeout : Millis(0));
+    this->recordReachability(Page.status());
     if (!Page.ok())
-      return UnreachablePause;
+      return UnreachableRetryInterval;
     // 3. The log came back from an older copy: nothing follows from the state.
     if (eraOf(Page->Next) > eraOf(From)) {
       this->beginEra(Page->First);
@@ -64,20 +64,20 @@
       this->Tables.Log.emit(EventCode::LogStale,
                             std::to_string(Page->Next.Value),
                             "folded " + std::to_string(From.Value));
-      return UnreachablePause;
+      return UnreachableRetryInterval;
     }
     // 5. The log forgot what comes next: a checkpoint has it.
     bool AtStart = From == Page->First && !this->TriedCheckpoint;
     if (Page->First > From || AtStart) {
       this->TriedCheckpoint = true;
       if (!this->loadCheckpoint() && Page->First > From)
-        return UnreachablePause;
+        return UnreachableRetryInterval;
       if (this->Fold.next() != From)
         return Millis(0);
     }
     // 6. Fold, and see whether that is all there is.
-    this->Fold.take(Page->Records);
-    if (this->Fold.next() >= Page->Next && this->isWrittenAgain())
+    this->Fold.apply(Page->Records);
+    if (this->Fold.next() >= Page->Next && this->rewriteLostRecords())
       this->becomeReady();
     this->checkpointIfDue(From);
     return Millis(0);
@@ -105,7 +105,7 @@
     std::size_t Here = 0;
     for (const Member &Row : Members)
       Here += Row.DataCentre == this->Tables.Self.DataCentre ? 1 : 0;
-    if (Here <= EveryoneReadsUpTo)
+    if (Here <= MaxDirectReaders)
       return true;
     std::vector<NodeHash> Relays =
         relaysOf(Members, this->Tables.Self.DataCentre);
@@ -113,7 +113,7 @@
            Relays.end();
   }
 
-  void noteReachable(const absl::Status &Status) {
+  void recordReachability(const absl::Status &Status) {
     bool Was = this->Tables.LogUp.exchange(Status.ok());
     if (Was && !Status.ok())
       this->Tables.Log.emit(EventCode::LogUnreachable, "log",
@@ -125,32 +125,32 @@
   void beginEra(Offset First) {
     this->Fold.restart(First);
     this->TriedCheckpoint = false;
-    this->WrittenAt = SystemClock{}.now() + WriteAgainTime;
+    this->RewriteGraceEnd = SystemClock{}.now() + RewriteGracePeriod;
   }
 
   /// Writes what the newest restore lost; whether nothing is left, and other
   /// daemons had the time to write what this one does not know.
-  bool isWrittenAgain() {
+  bool rewriteLostRecords() {
     TimePoint Now = SystemClock{}.now();
-    if (std::optional<FoldState> Before = this->Fold.takeBefore()) {
-      this->WrittenAt = Now + WriteAgainTime;
-      this->Lost = this->Tables.State.read(
+    if (std::optional<FoldState> Before = this->Fold.takeStateBeforeRestore()) {
+      this->RewriteGraceEnd = Now + RewriteGracePeriod;
+      this->LostRecords = this->Tables.State.read(
           [&](const FoldState &State) { return lostRecords(*Before, State); });
     }
     this->Tables.State.read([&](const FoldState &State) {
-      std::erase_if(this->Lost, [&](const wire::RecordT &Row) {
+      std::erase_if(this->LostRecords, [&](const wire::RecordT &Row) {
         return isSettled(Row, State);
       });
     });
-    if (!this->Lost.empty() && Now >= this->WriteDue) {
-      this->WriteDue = Now + WriteAgainPause;
-      for (wire::RecordT &Row : this->Lost)
-        this->writeAgain(Row);
+    if (!this->LostRecords.empty() && Now >= this->NextRewrite) {
+      this->NextRewrite = Now + RewriteRetryInterval;
+      for (wire::RecordT &Row : this->LostRecords)
+        this->rewrite(Row);
     }
-    return this->Lost.empty() && Now >= this->WrittenAt;
+    return this->LostRecords.empty() && Now >= this->RewriteGraceEnd;
   }
 
-  void writeAgain(wire::RecordT &Row) {
+  void rewrite(wire::RecordT &Row) {
     Row.node = this->Tables.Self.Node.Text;
     absl::StatusOr<Offset> At =
         this->Platform.append(LogStream::Records, packRecord(Row));
@@ -162,7 +162,7 @@
   /// Whether the log has the record before \p Place where the checkpoint says.
   /// One of an earlier era may have been written by a daemon that had not
   /// noticed that the log came back; then the log holds another record there.
-  bool holds(const CheckpointPlace &Place, StoreEra Era) {
+  bool matchesLog(const CheckpointPlace &Place, StoreEra Era) {
     std::uint64_t Next = withoutEra(Place.Next.Value);
     if (eraOf(Place.Next) == Era)
       return true;
@@ -192,8 +192,8 @@
         return false;
       const std::string &Bytes = Page->Records[0].Bytes;
       std::optional<CheckpointPlace> Place = placeOfCheckpoint(Bytes);
-      if (Place && this->holds(*Place, Era) &&
-          this->Fold.takeCheckpoint(Bytes, Era).ok())
+      if (Place && this->matchesLog(*Place, Era) &&
+          this->Fold.applyCheckpoint(Bytes, Era).ok())
         return true;
     }
     return false;
@@ -224,16 +224,16 @@
   }
 
   Board &Tables;
-  Folder &Fold;
+  RecordFolder &Fold;
   Service &Platform;
   TimePoint LastRead;
   bool TriedCheckpoint = false;
   /// What the newest restore lost and is not written again yet.
-  std::vector<wire::RecordT> Lost;
+  std::vector<wire::RecordT> LostRecords;
   /// When it is tried again.
-  TimePoint WriteDue;
+  TimePoint NextRewrite;
   /// By when all daemons had the time to write again what it lost.
-  TimePoint WrittenAt;
+  TimePoint RewriteGraceEnd;
 };
 
 } // namespace waycove
--- a/src/control/members.h
+++ b/src/control/member_reports.h
@@ -13,28 +13,28 @@
 namespace waycove {
 
 /// What the group controller heard from one VM.
-struct MemberState {
+struct MemberRecord {
   MemberReport Report;
-  bool EverHeard = false;
-  TimePoint Heard;
+  bool HasReport = false;
+  TimePoint ReportedAt;
   /// Since when this VM is asked without a break.
-  TimePoint AskedSince;
-  TimePoint LastAsked;
+  TimePoint PolledSince;
+  TimePoint LastPoll;
   TimePoint LastOrder;
-  bool Busy = false;
+  bool PollPending = false;
 };
 
 /// Why a group cannot serve, or that it can.
-struct GroupVerdict {
+struct GroupReadiness {
   bool Ready = false;
   VmId Member;
   std::string Reason;
 };
 
 /// Reports of VMs, as polls bring them. Thread-safe; knows no I/O.
-class MemberBook {
+class MemberReports {
 public:
-  explicit MemberBook(const Settings &Config) : Config(Config) {}
+  explicit MemberReports(const Settings &Config) : Config(Config) {}
 
   /// Whether \p Vm is due for a poll; marks it as being asked.
   bool beginPoll(const VmId &Vm, TimePoint Now);
@@ -42,23 +42,23 @@
                TimePoint Now);
   /// Whether an order to \p Vm is due; marks it as given.
   bool beginOrder(const VmId &Vm, TimePoint Now);
-  std::optional<MemberState> find(const VmId &Vm) const;
+  std::optional<MemberRecord> find(const VmId &Vm) const;
   /// A group serves only if every member itself said just now that it has
   /// loaded under this very fence.
-  GroupVerdict judge(const Group &Formed, TimePoint Now) const;
+  GroupReadiness checkReadiness(const Group &Formed, TimePoint Now) const;
   /// Whether \p Vm was asked for long and said nothing.
   bool isDead(const VmId &Vm, TimePoint Now) const;
   /// After a pause of this process, what it last heard proves nothing.
-  void restart(TimePoint Now);
+  void invalidate(TimePoint Now);
   /// Keeps only these VMs.
-  void keep(const std::set<VmId> &Wanted);
+  void retainOnly(const std::set<VmId> &Wanted);
 
 private:
-  Millis freshFor() const;
+  Millis freshDuration() const;
 
   const Settings &Config;
   mutable std::mutex Mutex;
-  std::unordered_map<VmId, MemberState> Rows;
+  std::unordered_map<VmId, MemberRecord> Rows;
 };
 
 } // namespace waycove
--- a/src/control/peer_records.cpp
+++ b/src/control/peer_records.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Millis AskAgainAfter(400);
+constexpr Millis RecordRequestInterval(400);
 /// Records sent in one answer, in bytes.
 constexpr std::size_t MaxRecordBytes = 1 << 20;
 
 } // namespace
 
-void PeerExchange::askForRecords(TimePoint Now) {
+void PeerExchange::requestRecords(TimePoint Now) {
   Offset Mine = this->Fold.next();
   std::uint64_t Best = Mine.Value;
   LinkRef From;
@@ -29,13 +29,14 @@
         return;
       AnyServes = true;
       Highest = std::max(Highest, Other->Folded);
-      if (Other->Folded > Best && Now - Row->AskedAt > AskAgainAfter) {
+      if (Other->Folded > Best &&
+          Now - Row->RequestedAt > RecordRequestInterval) {
         Best = Other->Folded;
         From = Row;
       }
     });
   if (From) {
-    From->AskedAt = Now;
+    From->RequestedAt = Now;
     wire::RecordsWantedT Asked;
     Asked.from = Mine.Value;
     this->send(*From,
@@ -99,7 +100,7 @@
   this->Tables.RoutingVersion.fetch_add(1);
 }
 
-void PeerExchange::askForVms() {
+void PeerExchange::requestVms() {
   if (this->Tables.VmsKnown || this->Tables.LogUp)
     return;
   for (const LinkRef &Row : this->openLinks())
@@ -113,7 +114,7 @@
     }
 }
 
-void PeerExchange::answerRecords(Link &To, const wire::RecordsWantedT &Asked) {
+void PeerExchange::sendRecords(Link &To, const wire::RecordsWantedT &Asked) {
   Offset From(Asked.from);
   wire::RecordsT Answer;
   if (Asked.vms && To.Centre == this->Tables.Self.DataCentre &&
@@ -142,13 +143,13 @@
 void PeerExchange::receiveRecords(const wire::RecordsT &Rows) {
   this->receiveVms(Rows);
   if (!Rows.checkpoint.empty())
-    this->Fold.takeCheckpoint({Rows.checkpoint.begin(), Rows.checkpoint.end()})
+    this->Fold.applyCheckpoint({Rows.checkpoint.begin(), Rows.checkpoint.end()})
         .IgnoreError();
   std::vector<LogRecord> Records;
   for (const auto &Row : Rows.entries)
     Records.push_back(
         {Offset(Row->offset), {Row->data.begin(), Row->data.end()}});
-  std::size_t Taken = this->Fold.take(Records);
+  std::size_t Taken = this->Fold.apply(Records);
   if (Taken > 0)
     this->Tables.Log.emit(EventCode::RecordsFromPeer, std::to_string(Taken),
                           "up to " + std::to_string(this->Fold.next().Value));
--- a/src/control/peers.cpp
+++ b/src/control/peers.cpp
@@ -13,20 +13,20 @@
 
 namespace {
 
-constexpr Millis FirstFrameWithin(3000);
+constexpr Millis FirstFrameTimeout(3000);
 /// A link without frames for this long is broken: heartbeats flow all the
 /// time.
-constexpr Millis LinkSilence(15000);
-constexpr std::size_t MaxDialing = 8;
+constexpr Millis LinkIdleTimeout(15000);
+constexpr std::size_t MaxConcurrentDials = 8;
 constexpr std::size_t MaxLinks = 64;
-constexpr Millis UnwantedAfter(5000);
+constexpr Millis UnwantedLinkTimeout(5000);
 /// Up to this size the ring's news needs one or two hops.
-constexpr std::size_t SmallCentre = 9;
-constexpr int PeriodsSilent = 4;
+constexpr std::size_t SmallDataCentreSize = 9;
+constexpr int LivenessHeartbeats = 4;
 /// Heartbeats come the slower, the more daemons there are.
-constexpr Millis BeatPerMember(20);
+constexpr Millis HeartbeatIntervalPerMember(20);
 /// Of other data centres' heartbeats one in so many is passed on.
-constexpr std::uint64_t SlowPace = 4;
+constexpr std::uint64_t RemoteHeartbeatStride = 4;
 
 class PeerConnection : public Poco::Net::TCPServerConnection {
 public:
@@ -52,10 +52,10 @@
 
 } // namespace
 
-PeerExchange::PeerExchange(Board &Tables, Folder &Fold,
+PeerExchange::PeerExchange(Board &Tables, RecordFolder &Fold,
                            ForwardHandler OnForward)
     : Tables(Tables), Fold(Fold), OnForward(std::move(OnForward)),
-      BeatEvery(Tables.Config.HeartbeatInterval) {}
+      EffectiveHeartbeatInterval(Tables.Config.HeartbeatInterval) {}
 
 PeerExchange::~PeerExchange() {
   this->Closing = true;
@@ -123,11 +123,11 @@
   return Flags;
 }
 
-wire::Heartbeat PeerExchange::ownBeat() {
+wire::Heartbeat PeerExchange::ownHeartbeat() {
   std::uint32_t Flags = this->ownFlags();
   this->SentFlags = Flags;
   return {this->Tables.Self.Hash.Value, this->Fold.next().Value,
-          static_cast<std::uint32_t>(this->Beats.fetch_add(1) + 1),
+          static_cast<std::uint32_t>(this->HeartbeatCount.fetch_add(1) + 1),
           static_cast<std::uint16_t>(
               std::min(this->Tables.InFlight.load(), 65535U)),
           static_cast<std::uint16_t>(Flags)};
@@ -157,14 +157,14 @@
       if (Node != this->Tables.Self.Hash && Fresh(Row.RowMark) && Row.Known)
         News.peers.push_back(std::make_unique<wire::PeerRowT>(Row.Row));
   });
-  this->addBeats(To, Now, News);
+  this->addHeartbeats(To, Now, News);
   return News;
 }
 
 /// Heartbeats that the other end does not have yet. Other data centres hear
 /// those of relays only, and every data centre those from elsewhere at a
 /// slower pace: they serve to pass requests on, not to control groups.
-void PeerExchange::addBeats(Link &To, TimePoint Now, wire::GossipT &News) {
+void PeerExchange::addHeartbeats(Link &To, TimePoint Now, wire::GossipT &News) {
   const DataCentreId &Here = this->Tables.Self.DataCentre;
   bool Foreign = To.Centre != Here;
   std::vector<NodeHash> Relays = relaysOf(this->Tables.members(Now), Here);
@@ -178,7 +178,8 @@
       if (Row.Sequence == 0 || !Wanted || Node == this->Tables.Self.Hash)
         continue;
       std::uint64_t &Has = To.Has[Node];
-      std::uint64_t Pace = Has > 0 && (Elsewhere || Foreign) ? SlowPace : 1;
+      std::uint64_t Pace =
+          Has > 0 && (Elsewhere || Foreign) ? RemoteHeartbeatStride : 1;
       if (Row.Sequence < Has + Pace)
         continue;
       Has = Row.Sequence;
@@ -195,7 +196,7 @@
   WithHeartbeat |= this->ownFlags() != this->SentFlags;
   std::optional<wire::Heartbeat> Own;
   if (WithHeartbeat)
-    Own = this->ownBeat();
+    Own = this->ownHeartbeat();
   for (const LinkRef &Row : this->openLinks()) {
     std::uint64_t UpTo = this->Tables.Changes.load();
     wire::GossipT News = this->gossipFor(*Row, Now);
@@ -229,19 +230,19 @@
 
 /// Larger data centres need more hops, so silence has to last longer before it
 /// says anything.
-void PeerExchange::adaptToSize(TimePoint Now) {
+void PeerExchange::updateTimeouts(TimePoint Now) {
   std::size_t Here = this->Tables.controllers(Now).size();
-  long Hops = Here <= SmallCentre
+  long Hops = Here <= SmallDataCentreSize
                   ? 0
                   : std::lround(std::sqrt(static_cast<double>(Here)));
   // Many heartbeats a second would cost more than they tell.
   Millis Config = this->Tables.Config.HeartbeatInterval;
   Millis Every = std::max(
       Config, static_cast<std::int64_t>(this->Tables.members(Now).size()) *
-                  BeatPerMember);
-  this->BeatEvery = Every;
+                  HeartbeatIntervalPerMember);
+  this->EffectiveHeartbeatInterval = Every;
   Millis LivenessTimeout =
-      std::max(Millis(600), PeriodsSilent * Every + Hops * Config);
+      std::max(Millis(600), LivenessHeartbeats * Every + Hops * Config);
   this->Tables.Peers.write(
       [&](PeerTable &Rows) { Rows.LivenessTimeout = LivenessTimeout; });
 }
@@ -249,7 +250,7 @@
 void PeerExchange::tick(TimePoint Now) {
   ++this->Rounds;
   // 1. Who fell silent?
-  this->adaptToSize(Now);
+  this->updateTimeouts(Now);
   std::vector<NodeHash> Lost = this->Tables.Peers.write(
       [&](PeerTable &Rows) { return Rows.sweep(Now); });
   for (NodeHash Node : Lost) {
@@ -260,20 +261,21 @@
     this->Tables.Log.emit(EventCode::PeerLost, Name);
   }
   // 2. Speak.
-  bool Due = Now - this->LastBeat >= this->BeatEvery.load();
+  bool Due =
+      Now - this->LastHeartbeat >= this->EffectiveHeartbeatInterval.load();
   if (Due)
-    this->LastBeat = Now;
+    this->LastHeartbeat = Now;
   this->flush(Now, Due);
   // 3. Links and records.
-  this->dialWanted(Now);
-  this->askForRecords(Now);
-  this->askForVms();
-  this->forgetOldHealth();
+  this->updateLinks(Now);
+  this->requestRecords(Now);
+  this->requestVms();
+  this->removeStaleHealth();
   std::lock_guard Lock(this->Mutex);
   std::erase_if(this->Links, [](const LinkRef &Row) { return !Row->Open; });
 }
 
-void PeerExchange::forgetOldHealth() {
+void PeerExchange::removeStaleHealth() {
   std::vector<Fence> Gone;
   this->Tables.State.read([&](const FoldState &State) {
     this->Tables.Health.read([&](const HealthTable &Rows) {
@@ -290,7 +292,7 @@
     });
 }
 
-void PeerExchange::dialWanted(TimePoint Now) {
+void PeerExchange::updateLinks(TimePoint Now) {
   std::vector<LinkRef> Open = this->openLinks();
   std::vector<NodeHash> Wanted =
       chooseLinks(this->Tables.Self.Hash, this->Tables.members(Now));
@@ -326,11 +328,11 @@
       break;
     }
   for (const Endpoint &Where : Targets)
-    if (this->Dialing < static_cast<int>(MaxDialing))
+    if (this->Dialing < static_cast<int>(MaxConcurrentDials))
       this->dial(Where);
   // 3. Links that this daemon opened and no longer wants.
   for (const LinkRef &Row : Open)
-    if (Row->Dialed && Now - Row->Since > UnwantedAfter &&
+    if (Row->Dialed && Now - Row->Since > UnwantedLinkTimeout &&
         std::find(Wanted.begin(), Wanted.end(), Row->Other) == Wanted.end()) {
       Row->Open = false;
       Row->Socket->shutdown();
@@ -372,7 +374,7 @@
   auto Row = std::make_shared<Link>();
   Row->Id = this->NextLink++;
   Row->Socket = std::make_unique<FrameSocket>(Socket, this->Tables.Counters);
-  absl::StatusOr<wire::FrameT> First = Row->Socket->receive(FirstFrameWithin);
+  absl::StatusOr<wire::FrameT> First = Row->Socket->receive(FirstFrameTimeout);
   if (!First.ok() || this->Closing)
     return;
   this->Tables.Clock.merge(First->clock);
@@ -401,14 +403,14 @@
       Listed = true;
       this->Tables.GossipRequested.set();
     }
-    absl::StatusOr<wire::FrameT> Frame = Row->Socket->receive(LinkSilence);
+    absl::StatusOr<wire::FrameT> Frame = Row->Socket->receive(LinkIdleTimeout);
     if (!Frame.ok())
       break;
     this->Tables.Clock.merge(Frame->clock);
     if (const auto *News = Frame->message.AsGossip())
       this->receiveGossip(*Row, *News);
     else if (const auto *Asked = Frame->message.AsRecordsWanted())
-      this->answerRecords(*Row, *Asked);
+      this->sendRecords(*Row, *Asked);
     else if (const auto *Records = Frame->message.AsRecords())
       this->receiveRecords(*Records);
     else
--- a/src/control/peers.h
+++ b/src/control/peers.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/folder.h"
+#include "control/record_folder.h"
 #include "wire/frame.h"
 
 #include <Poco/Net/TCPServer.h>
@@ -24,7 +24,7 @@
 /// anything that must be unique; it only says who seems to be there.
 class PeerExchange {
 public:
-  PeerExchange(Board &Tables, Folder &Fold, ForwardHandler OnForward);
+  PeerExchange(Board &Tables, RecordFolder &Fold, ForwardHandler OnForward);
   ~PeerExchange();
   PeerExchange(const PeerExchange &) = delete;
   PeerExchange &operator=(const PeerExchange &) = delete;
@@ -51,7 +51,7 @@
     TimePoint Since;
     std::atomic<bool> Open{true};
     std::uint64_t SentUpTo = 0;
-    TimePoint AskedAt;
+    TimePoint RequestedAt;
     /// Newest heartbeat of each daemon that the other end is known to have.
     std::mutex Mutex;
     std::unordered_map<NodeHash, std::uint64_t> Has;
@@ -60,26 +60,26 @@
 
   wire::PeerRowT ownRow() const;
   std::uint32_t ownFlags() const;
-  wire::Heartbeat ownBeat();
+  wire::Heartbeat ownHeartbeat();
   wire::GossipT gossipFor(Link &To, TimePoint Now);
-  void addBeats(Link &To, TimePoint Now, wire::GossipT &News);
-  void adaptToSize(TimePoint Now);
-  void dialWanted(TimePoint Now);
+  void addHeartbeats(Link &To, TimePoint Now, wire::GossipT &News);
+  void updateTimeouts(TimePoint Now);
+  void updateLinks(TimePoint Now);
   void dial(const Endpoint &Where);
   void runLink(const LinkRef &Row);
   void receiveGossip(Link &From, const wire::GossipT &News);
   void receiveRecords(const wire::RecordsT &Rows);
-  void answerRecords(Link &To, const wire::RecordsWantedT &Asked);
+  void sendRecords(Link &To, const wire::RecordsWantedT &Asked);
   std::vector<std::unique_ptr<wire::VmRowT>> vmRows(std::uint64_t &Version);
   void receiveVms(const wire::RecordsT &Rows);
-  void askForVms();
-  void askForRecords(TimePoint Now);
-  void forgetOldHealth();
+  void requestVms();
+  void requestRecords(TimePoint Now);
+  void removeStaleHealth();
   std::vector<LinkRef> openLinks() const;
   static void send(Link &To, const wire::FrameT &Frame);
 
   Board &Tables;
-  Folder &Fold;
+  RecordFolder &Fold;
   ForwardHandler OnForward;
   std::unique_ptr<Poco::Net::TCPServer> Server;
   mutable std::mutex Mutex;
@@ -90,12 +90,12 @@
   };
   std::vector<Dialer> Dialers;
   std::atomic<std::uint64_t> NextLink{1};
-  std::atomic<std::uint64_t> Beats{0};
+  std::atomic<std::uint64_t> HeartbeatCount{0};
   std::atomic<std::uint32_t> SentFlags{0};
   std::atomic<int> Dialing{0};
   std::atomic<bool> Closing{false};
-  std::atomic<Millis> BeatEvery;
-  TimePoint LastBeat;
+  std::atomic<Millis> EffectiveHeartbeatInterval;
+  TimePoint LastHeartbeat;
   std::size_t NextSeed = 0;
   std::uint64_t Rounds = 0;
 };
--- a/src/control/folder.cpp
+++ b/src/control/record_folder.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-#include "control/folder.h"
+#include "control/record_folder.h"
 
 namespace waycove {
 
@@ -22,7 +22,7 @@
   return this->Outcome;
 }
 
-std::size_t Folder::take(const std::vector<LogRecord> &Records) {
+std::size_t RecordFolder::apply(const std::vector<LogRecord> &Records) {
   std::size_t Taken = 0;
   for (const LogRecord &Record : Records) {
     std::optional<FoldOutcome> Outcome =
@@ -49,7 +49,8 @@
   return Taken;
 }
 
-absl::Status Folder::takeCheckpoint(const std::string &Bytes, StoreEra Era) {
+absl::Status RecordFolder::applyCheckpoint(const std::string &Bytes,
+                                           StoreEra Era) {
   FoldState Old =
       this->Tables.State.read([](const FoldState &State) { return State; });
   absl::Status Result = this->Tables.State.write([&](FoldState &State) {
@@ -60,24 +61,24 @@
   });
   if (!Result.ok())
     return Result;
-  this->noteRestart(std::move(Old), this->next());
+  this->keepIfRestored(std::move(Old), this->next());
   this->Tables.RoutingVersion.fetch_add(1);
   this->Tables.Log.emit(EventCode::CheckpointLoaded,
                         std::to_string(this->next().Value));
   return Result;
 }
 
-void Folder::restart(Offset First) {
+void RecordFolder::restart(Offset First) {
   FoldState Old = this->Tables.State.write([&](FoldState &State) {
     this->Tables.Tail.write([](RecordTail &Tail) { Tail.clear(); });
     return std::exchange(State, FoldState(First));
   });
-  this->noteRestart(std::move(Old), First);
+  this->keepIfRestored(std::move(Old), First);
   this->Tables.RoutingVersion.fetch_add(1);
 }
 
 /// Keeps \p Old where the log is of a later era by now.
-void Folder::noteRestart(FoldState Old, Offset Now) {
+void RecordFolder::keepIfRestored(FoldState Old, Offset Now) {
   if (Old.next() == Offset() || eraOf(Now) <= eraOf(Old.next()))
     return;
   this->Tables.Restoring = true;
@@ -89,42 +90,43 @@
                             .add("offset", withoutEra(Now.Value))
                             .add("era", eraOf(Now).Value));
   std::lock_guard Lock(this->Mutex);
-  this->Before = std::move(Old);
+  this->StateBeforeRestore = std::move(Old);
 }
 
-std::optional<FoldState> Folder::takeBefore() {
+std::optional<FoldState> RecordFolder::takeStateBeforeRestore() {
   std::lock_guard Lock(this->Mutex);
-  return std::exchange(this->Before, std::nullopt);
+  return std::exchange(this->StateBeforeRestore, std::nullopt);
 }
 
-Offset Folder::next() const {
+Offset RecordFolder::next() const {
   return this->Tables.State.read(
       [](const FoldState &State) { return State.next(); });
 }
 
-std::shared_ptr<PendingRecord> Folder::expect(const std::string &RecordId) {
+std::shared_ptr<PendingRecord>
+RecordFolder::expect(const std::string &RecordId) {
   auto Row = std::make_shared<PendingRecord>();
   std::lock_guard Lock(this->Mutex);
-  this->Waiting[RecordId] = Row;
+  this->PendingRecords[RecordId] = Row;
   return Row;
 }
 
-void Folder::forget(const std::string &RecordId) {
+void RecordFolder::forget(const std::string &RecordId) {
   std::lock_guard Lock(this->Mutex);
-  this->Waiting.erase(RecordId);
+  this->PendingRecords.erase(RecordId);
 }
 
-bool Folder::hasPending() const {
+bool RecordFolder::hasPending() const {
   std::lock_guard Lock(this->Mutex);
-  return !this->Waiting.empty();
+  return !this->PendingRecords.empty();
 }
 
-void Folder::resolve(const FoldOutcome &Outcome) {
+void RecordFolder::resolve(const FoldOutcome &Outcome) {
   std::shared_ptr<PendingRecord> Row;
   {
     std::lock_guard Lock(this->Mutex);
-    auto At = this->Waiting.find(Outcome.RecordId);
-    if (At == this->Waiting.end())
+    auto At = this->PendingRecords.find(Outcome.RecordId);
+    if (At == this->PendingRecords.end())
       return;
     Row = At->second;
   }
--- a/src/control/folder.h
+++ b/src/control/record_folder.h
@@ -29,21 +29,21 @@
 /// from an older copy, the state is folded anew from that, as on each daemon
 /// that starts; what was known before is kept for writing it again, and the
 /// daemon takes no requests meanwhile. Thread-safe.
-class Folder {
+class RecordFolder {
 public:
-  explicit Folder(Board &Tables) : Tables(Tables) {}
+  explicit RecordFolder(Board &Tables) : Tables(Tables) {}
 
   /// Takes in what of \p Records comes next; returns how many were.
-  std::size_t take(const std::vector<LogRecord> &Records);
+  std::size_t apply(const std::vector<LogRecord> &Records);
   /// Takes in a checkpoint, if it is ahead; one from the log, in the era of
   /// that.
-  absl::Status takeCheckpoint(const std::string &Bytes,
-                              StoreEra Era = StoreEra());
+  absl::Status applyCheckpoint(const std::string &Bytes,
+                               StoreEra Era = StoreEra());
   /// The log came back from an older copy, of which \p First is the first
   /// record that it holds.
   void restart(Offset First);
   /// What was known before the newest restart, once.
-  std::optional<FoldState> takeBefore();
+  std::optional<FoldState> takeStateBeforeRestore();
   Offset next() const;
 
   /// To be called before the record is appended.
@@ -53,12 +53,13 @@
 
 private:
   void resolve(const FoldOutcome &Outcome);
-  void noteRestart(FoldState Old, Offset Now);
+  void keepIfRestored(FoldState Old, Offset Now);
 
   Board &Tables;
   mutable std::mutex Mutex;
-  std::optional<FoldState> Before;
-  std::unordered_map<std::string, std::shared_ptr<PendingRecord>> Waiting;
+  std::optional<FoldState> StateBeforeRestore;
+  std::unordered_map<std::string, std::shared_ptr<PendingRecord>>
+      PendingRecords;
 };
 
 } // namespace waycove
--- a/src/control/submit.h
+++ b/src/control/submitter.h
@@ -4,22 +4,22 @@
 
 #pragma once
 
-#include "control/folder.h"
 #include "control/log.h"
+#include "control/record_folder.h"
 
 #include <thread>
 
 namespace waycove {
 
 /// Pause between tries to append the same record.
-constexpr Millis AppendRetryPause(100);
+constexpr Millis AppendRetryInterval(100);
 
 /// Appends records and waits until the fold has passed them. A record keeps
 /// its id over all tries, so an append whose answer was lost is settled by
 /// what the fold says, and a second copy of it changes nothing.
 template <LogService Service> class Submitter {
 public:
-  Submitter(Board &Tables, Folder &Fold, Service &Platform)
+  Submitter(Board &Tables, RecordFolder &Fold, Service &Platform)
       : Tables(Tables), Fold(Fold), Platform(Platform) {}
 
   /// Errors: LogUnavailable where the record is certainly not in the log;
@@ -53,7 +53,7 @@
       // 2. Wait for the fold to pass it; briefly, if it may not be there.
       TimePoint Now = SystemClock{}.now();
       TimePoint Pause =
-          At.ok() ? Until : std::min(Until, Now + AppendRetryPause);
+          At.ok() ? Until : std::min(Until, Now + AppendRetryInterval);
       if (auto Outcome = Pending.wait(Pause))
         return *Outcome;
       if (SystemClock{}.now() >= Until)
@@ -68,7 +68,7 @@
   }
 
   Board &Tables;
-  Folder &Fold;
+  RecordFolder &Fold;
   Service &Platform;
 };
 
--- a/src/control/views.cpp
+++ b/src/control/views.cpp
@@ -6,9 +6,9 @@
 
 namespace waycove {
 
-ViewRef ViewBuilder::groupView(const FoldState &State, const VmTable &Vms,
-                               const DrainSet &Drains,
-                               const Object &Row) const {
+ViewRef ViewBuilder::buildGroupView(const FoldState &State, const VmTable &Vms,
+                                    const DrainSet &Drains,
+                                    const Object &Row) const {
   const auto *Spec = Row.as<Deployment>();
   auto View = std::make_shared<RouteView>();
   View->SlotsPerReplica = Spec->SlotsPerReplica;
@@ -51,9 +51,10 @@
   return View;
 }
 
-ViewRef ViewBuilder::serviceView(const FoldState &State, const VmTable &Vms,
-                                 const DrainSet &Drains,
-                                 const Object &Row) const {
+ViewRef ViewBuilder::buildServiceView(const FoldState &State,
+                                      const VmTable &Vms,
+                                      const DrainSet &Drains,
+                                      const Object &Row) const {
   const auto *Spec = Row.as<Service>();
   auto View = std::make_shared<RouteView>();
   std::optional<Selector> Own = State.resolve(Spec->Match, Spec->Selectors);
@@ -78,18 +79,18 @@
 
 bool ViewBuilder::refresh() {
   std::uint64_t Version = this->Tables.RoutingVersion.load();
-  if (Version == this->Seen)
+  if (Version == this->LastVersion)
     return false;
-  this->Seen = Version;
+  this->LastVersion = Version;
   ViewTable Fresh;
   this->Tables.State.read([&](const FoldState &State) {
     DrainSet Drains(State);
     this->Tables.Vms.read([&](const VmTable &Vms) {
       for (const auto &[Key, Row] : State.objects()) {
         if (Key.Kind == ObjectKind::Deployment)
-          Fresh.Rows[Key] = this->groupView(State, Vms, Drains, *Row);
+          Fresh.Rows[Key] = this->buildGroupView(State, Vms, Drains, *Row);
         if (Key.Kind == ObjectKind::Service)
-          Fresh.Rows[Key] = this->serviceView(State, Vms, Drains, *Row);
+          Fresh.Rows[Key] = this->buildServiceView(State, Vms, Drains, *Row);
       }
     });
   });
--- a/src/control/views.h
+++ b/src/control/views.h
@@ -17,13 +17,13 @@
   bool refresh();
 
 private:
-  ViewRef groupView(const FoldState &State, const VmTable &Vms,
-                    const DrainSet &Drains, const Object &Row) const;
-  ViewRef serviceView(const FoldState &State, const VmTable &Vms,
-                      const DrainSet &Drains, const Object &Row) const;
+  ViewRef buildGroupView(const FoldState &State, const VmTable &Vms,
+                         const DrainSet &Drains, const Object &Row) const;
+  ViewRef buildServiceView(const FoldState &State, const VmTable &Vms,
+                           const DrainSet &Drains, const Object &Row) const;
 
   Board &Tables;
-  std::uint64_t Seen = 0;
+  std::uint64_t LastVersion = 0;
 };
 
 } // namespace waycove
--- a/src/control/vm_list.h
+++ b/src/control/vm_list.h
@@ -16,8 +16,8 @@
   std::uint64_t Version = 0;
   /// The answer holds all VMs, not only changes.
   bool Whole = false;
-  std::vector<VmInfo> Rows;
-  std::vector<VmId> Gone;
+  std::vector<VmInfo> Vms;
+  std::vector<VmId> Removed;
 };
 
 /// The platform's lagging list of VMs.
--- a/src/control/vmwatch.h
+++ b/src/control/vm_list_follower.h
@@ -11,9 +11,10 @@
 
 /// Follows the platform's list of this data centre's VMs, and tells peers of
 /// VMs that leave.
-template <VmList List> class VmWatch {
+template <VmList List> class VmListFollower {
 public:
-  VmWatch(Board &Tables, List &Platform) : Tables(Tables), Platform(Platform) {}
+  VmListFollower(Board &Tables, List &Platform)
+      : Tables(Tables), Platform(Platform) {}
 
   /// One question to the list. False where it did not answer.
   bool step() {
@@ -41,13 +42,13 @@
     this->Tables.Vms.write([&](VmTable &Vms) {
       if (Page.Whole)
         Changed |= this->removeAbsent(Vms, Page);
-      for (const VmInfo &Row : Page.Rows) {
+      for (const VmInfo &Row : Page.Vms) {
         Changed |= Vms.put(Row);
         if (Row.ListedLeaving &&
             Vms.recordLeaving(Row.Id, Until, this->Tables.nextLocalMark()))
           Leaving.push_back(Row.Id);
       }
-      for (const VmId &Vm : Page.Gone)
+      for (const VmId &Vm : Page.Removed)
         Changed |= Vms.remove(Vm);
       Vms.Version = Page.Version;
       Vms.expireNotices(SystemClock{}.wall());
@@ -62,7 +63,7 @@
   }
 
   static bool isListed(const VmPage &Page, const VmId &Vm) {
-    return std::any_of(Page.Rows.begin(), Page.Rows.end(),
+    return std::any_of(Page.Vms.begin(), Page.Vms.end(),
                        [&](const VmInfo &Row) { return Row.Id == Vm; });
   }
 
--- a/src/edge/daemon.cpp
+++ b/src/edge/daemon.cpp
@@ -4,11 +4,11 @@
 
 #include "edge/daemon.h"
 
-#include "control/follow.h"
-#include "control/grouper.h"
+#include "control/group_controller.h"
+#include "control/log_follower.h"
 #include "control/peers.h"
 #include "control/views.h"
-#include "control/vmwatch.h"
+#include "control/vm_list_follower.h"
 #include "edge/callers.h"
 #include "edge/operators.h"
 #include "edge/platform.h"
@@ -79,7 +79,7 @@
   }
 
   Board Tables;
-  Folder Fold;
+  RecordFolder Fold;
   HttpLog Log;
   HttpVmList List;
   Submitter<HttpLog> Submit;
@@ -90,10 +90,10 @@
   Forwarder Others;
   Caller Serve;
   Operators<HttpLog> Admin;
-  Follower<HttpLog> Follow;
-  VmWatch<HttpVmList> Watch;
+  LogFollower<HttpLog> Follow;
+  VmListFollower<HttpVmList> Watch;
   ViewBuilder Views;
-  Grouper<HttpEngineControl, HttpLog> Groups;
+  GroupController<HttpEngineControl, HttpLog> Groups;
   PeerExchange Peers;
   std::unique_ptr<Poco::ThreadPool> HttpThreads;
   std::unique_ptr<Poco::Net::HTTPServer> Http;
--- a/src/edge/operators.h
+++ b/src/edge/operators.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/submit.h"
+#include "control/submitter.h"
 #include "edge/callers.h"
 
 #include <Poco/URI.h>
--- a/src/edge/platform.cpp
+++ b/src/edge/platform.cpp
@@ -149,9 +149,9 @@
       continue;
     VmInfo Info = vmFromJson(Row);
     if (textAt(Row, "state") == "gone")
-      Page.Gone.push_back(Info.Id);
+      Page.Removed.push_back(Info.Id);
     else
-      Page.Rows.push_back(std::move(Info));
+      Page.Vms.push_back(std::move(Info));
   }
   return Page;
 }
--- a/src/edge/serve.h
+++ b/src/edge/serve.h
@@ -4,7 +4,7 @@
 
 #pragma once
 
-#include "control/claims.h"
+#include "control/claim_binder.h"
 #include "edge/forward.h"
 #include "edge/serve_model.h"
 #include "edge/serve_plain.h"
--- a/tests/contract/platform_contract.cpp
+++ b/tests/contract/platform_contract.cpp
@@ -87,11 +87,11 @@
   auto Page = List.list(DataCentreId("a"), 0);
   REQUIRE(Page.ok());
   CHECK(Page->Whole);
-  REQUIRE(Page->Rows.size() == 2);
-  CHECK(Page->Rows[0].Domain == DomainId("d"));
-  CHECK(*Page->Rows[0].OwnLabels.find("role") == "engine");
-  CHECK(List.list(DataCentreId("a"), Page->Version)->Rows.empty());
-  CHECK(List.list(DataCentreId("elsewhere"), 0)->Rows.empty());
+  REQUIRE(Page->Vms.size() == 2);
+  CHECK(Page->Vms[0].Domain == DomainId("d"));
+  CHECK(*Page->Vms[0].OwnLabels.find("role") == "engine");
+  CHECK(List.list(DataCentreId("a"), Page->Version)->Vms.empty());
+  CHECK(List.list(DataCentreId("elsewhere"), 0)->Vms.empty());
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"v-1","state":"leaving"})"});
   auto Leaving = List.list(DataCentreId("a"), Page->Version);
--- a/tools/without.py
+++ b/tools/without.py
@@ -191,11 +191,11 @@
         "Token.Members != Way.View->VmsPerReplica", "false",
         "groups: a member other"),
     "fresh-reports": (
-        "src/control/members.cpp",
-        "if (Now - Row->Heard > this->freshFor())", "if (false)",
+        "src/control/member_reports.cpp",
+        "if (Now - Row->ReportedAt > this->freshDuration())", "if (false)",
         "groups: a member dies idle|groups: a member is frozen"),
     "fence-compared": (
-        "src/control/members.cpp",
+        "src/control/member_reports.cpp",
         "if (Row->Report.Group != Formed.Id)", "if (false)",
         "groups: a late order"),
     "stamps-compared": (
@@ -250,7 +250,7 @@
         "News.leaving.push_back(std::move(Out));", "Out.reset();",
         "leaving: the target itself"),
     "drain-waits": (
-        "src/control/grouper.h",
+        "src/control/group_controller.h",
         "return Over || Now - Idle->second > IdleBeforeReplace;",
         "return true;",
         "leaving: a drained group|leaving: fewer replicas"),
@@ -274,10 +274,10 @@
         "config: a daemon starts"),
     "records-from-peers": (
         "src/control/peers.cpp",
-        "this->askForRecords(Now);\n", "\n",
+        "this->requestRecords(Now);\n", "\n",
         "config: a daemon cut|config: a daemon starts while"),
     "checkpoint": (
-        "src/control/follow.h",
+        "src/control/log_follower.h",
         "if (Page->First > From || ", "if (false && ",
         "config: the log forgot"),
     "few-members": (
