--- a/src/policy/domain_forecast.h
+++ b/src/policy/domain_forecast.h
@@ -11,26 +11,24 @@
 
 namespace waycove {
 
-/// What another domain's groups will soon be, as far as the registry tells.
-/// Owners of domains decide at the same time: where each counted only the
-/// groups that serve at this moment, all of them made up for the same lack. On
-/// a day with a quarter of 48 VMs unseen for 9 s that left 3 small groups
-/// beside 7 large ones.
+/// Expected groups of one domain in the near future, derived from the registry.
+/// Owners of domains plan concurrently; if each counted only the groups that
+/// serve now, all would compensate for the same shortage.
 struct DomainForecast {
   DataCentreId Centre;
-  /// Groups that serve, that form, and that loose VMs make; those that load
-  /// weights alone count as having them.
+  /// Groups that serve, that are forming, and that ungrouped VMs can form. VMs
+  /// in load groups count as having the weights.
   GroupCounts Groups;
-  /// Of these, whole ones that are open.
+  /// Of these, complete groups that are open.
   GroupCounts ServingGroups;
-  /// A group is closing.
+  /// Whether a group of the domain is closing.
   bool AnyGroupClosing = false;
-  /// How these change where its owner closes a small group, which with its
-  /// loose VMs makes a large one. Empty where that is not possible.
+  /// Change of Groups if the owner closes a small group whose VMs form a large
+  /// one together with ungrouped VMs. Empty where that is not possible.
   GroupCounts Trade;
 };
 
-/// The outlook of each domain among \p Targets, all VMs of one service.
+/// Forecasts each domain among \p Targets, which are all VMs of one service.
 std::map<DomainId, DomainForecast>
 forecastDomains(const std::vector<TargetRef> &Targets,
                 const EngineSpec &Engine);
--- a/src/policy/domain_plan.cpp
+++ b/src/policy/domain_plan.cpp
@@ -2,8 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// The frame of a planning step: what the VMs announce, when planning may begin,
-// and which orders may be given again.
+// The main sequence of a planning step, group counts, and repeated orders.
 
 #include "policy/domain_step.h"
 
@@ -13,11 +12,11 @@
 
 namespace {
 
-/// The registry lists a domain's VMs one after the other at the start: plan
-/// when none came for this time.
-constexpr Millis SettleTime(700);
-/// Before the same order is given to the same group again.
-constexpr Millis RepeatTime(1200);
+/// At the start the registry lists a domain's VMs one after the other; planning
+/// begins when their number was stable for this time.
+constexpr Millis SettleDuration(700);
+/// Minimum interval between repetitions of an order.
+constexpr Millis MinRepeatInterval(1200);
 
 } // namespace
 
@@ -42,8 +41,8 @@
   std::vector<unsigned> Counts(Engine.Models.size(), 0);
   std::vector<const ModelSpec *> Order = modelsLargestFirst(Engine);
   std::size_t OneOfEach = 0;
-  for (const ModelSpec *Row : Order)
-    OneOfEach += Row->GroupSize;
+  for (const ModelSpec *Model : Order)
+    OneOfEach += Model->GroupSize;
   if (OneOfEach > Vms && !Order.empty())
     std::rotate(Order.begin(),
                 Order.begin() +
@@ -52,10 +51,10 @@
   std::size_t Free = Vms;
   for (bool Any = true; Any;) {
     Any = false;
-    for (const ModelSpec *Row : Order)
-      if (Row->GroupSize > 0 && Free >= Row->GroupSize) {
-        Free -= Row->GroupSize;
-        ++Counts[static_cast<std::size_t>(Row - Engine.Models.data())];
+    for (const ModelSpec *Model : Order)
+      if (Model->GroupSize > 0 && Free >= Model->GroupSize) {
+        Free -= Model->GroupSize;
+        ++Counts[static_cast<std::size_t>(Model - Engine.Models.data())];
         Any = true;
       }
   }
@@ -73,8 +72,8 @@
   S.RemainingSpareLoads = View.SpareLoads - std::min(View.SpareLoads, Unseen);
   S.Demand = View.Demand.empty() ? expectedDemand(Engine) : View.Demand;
   collect(S);
-  for (const auto &[Key, Row] : S.Groups)
-    this->reviewGroup(S, Key, Row);
+  for (const auto &[Key, Group] : S.Groups)
+    this->reviewGroup(S, Key, Group);
   this->dropStaleForming(S);
   this->trackWarmUps(S);
   this->expireReservations(S);
@@ -95,41 +94,45 @@
     this->LeftMembers.insert({Order.Group, Order.To->life()});
 }
 
+/// Whether planning may begin: a group exists, or the number of listed targets
+/// is stable.
 bool DomainPlanner::isSettled(const DomainView &View) {
-  bool Formed =
-      std::any_of(View.Targets.begin(), View.Targets.end(),
-                  [](const TargetRef &Row) { return Row->Group.has_value(); });
-  if (this->Started || Formed)
+  bool AnyGroup = std::any_of(
+      View.Targets.begin(), View.Targets.end(),
+      [](const TargetRef &Target) { return Target->Group.has_value(); });
+  if (this->Started || AnyGroup)
     return this->Started = true;
   if (View.Targets.size() != this->SeenTargetCount) {
     this->SeenTargetCount = View.Targets.size();
     this->TargetsChangedAt = View.Now;
   }
   this->Started = this->SeenTargetCount > 0 &&
-                  View.Now - this->TargetsChangedAt > SettleTime;
+                  View.Now - this->TargetsChangedAt > SettleDuration;
   return this->Started;
 }
 
+/// Collects the announced groups and their members.
 void DomainPlanner::collect(Step &S) {
-  for (const TargetRef &Row : S.View.Targets) {
-    if (!Row->Group || S.View.PresumedDead.contains(Row->life()))
+  for (const TargetRef &Target : S.View.Targets) {
+    if (!Target->Group || S.View.PresumedDead.contains(Target->life()))
       continue;
-    AnnouncedGroup &Into = S.Groups[Row->Group->Group];
-    Into.Ranks[Row->Group->Rank] = Row;
-    if (Row->Group->Rank == 0)
-      Into.Head = Row;
-    Into.AnyDraining = Into.AnyDraining || Row->Draining;
-    Into.AllReady = Into.AllReady && Row->Group->State == MemberState::Ready;
+    AnnouncedGroup &Group = S.Groups[Target->Group->Group];
+    Group.Ranks[Target->Group->Rank] = Target;
+    if (Target->Group->Rank == 0)
+      Group.Head = Target;
+    Group.AnyDraining = Group.AnyDraining || Target->Draining;
+    Group.AllReady =
+        Group.AllReady && Target->Group->State == MemberState::Ready;
   }
 }
 
 void DomainPlanner::addOrder(Step &S, OrderKind Kind, const TargetRef &To,
                              const GroupKey &Group, const std::string &Reason,
                              const std::string &Model) {
-  TimePoint &Last = this->LastOrderAt[{Group, Kind, To->life()}];
-  if (Last != TimePoint() && S.View.Now - Last < RepeatTime)
+  TimePoint &LastSent = this->LastOrderAt[{Group, Kind, To->life()}];
+  if (LastSent != TimePoint() && S.View.Now - LastSent < MinRepeatInterval)
     return;
-  Last = S.View.Now;
+  LastSent = S.View.Now;
   S.Orders.push_back({Kind, To, Group, Model, {}, Reason});
 }
 
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -11,128 +11,129 @@
 
 namespace waycove {
 
-/// What a target can be told about groups.
+/// Commands that a target accepts about its group.
 enum class OrderKind { Join, Open, Close, Leave, Stage };
 
 std::string_view orderName(OrderKind Kind);
 
-/// One order to one target.
+/// One command to one target.
 struct GroupOrder {
   OrderKind Kind{};
   TargetRef To;
   GroupKey Group;
   std::string Model;
-  /// For Join: all members, the head first.
+  /// For Join: all members in the order of their ranks.
   std::vector<VmId> Members;
-  /// Why it is given, for the log.
+  /// Logged with the order.
   std::string Reason;
 };
 
-/// What is known of a group's member whose registry entry went.
+/// What is known of a group member whose registry entry was removed.
 enum class MemberStatus {
-  /// Nobody asked it yet, or the answer is not in.
+  /// Not queried yet, or no conclusive response.
   Unknown,
-  /// It answers, and is still in the group.
+  /// It responds and is still in the group.
   Alive,
-  /// Its process ended, another one is there, or it does not answer at all.
+  /// Its process ended or was replaced, or it does not respond.
   Dead,
 };
 
-/// A new owner of a domain plans no sooner: what the last one ordered shows in
-/// the registry within about 0.6 s, and other views lag a little more.
+/// A new owner waits this long before it plans, so that the registry shows the
+/// effects of the previous owner's orders.
 inline constexpr Millis TakeoverDelay{1000};
 
-/// Loads allowed where they are not bounded.
+/// Value of DomainView::LoadsAllowed where loads are not limited.
 inline constexpr unsigned UnlimitedLoads = 1000;
 
-/// How a domain looks in one planning step.
+/// Input of one planning step: the state of a domain and of the service.
 struct DomainView {
   DomainId Domain;
   ServiceId Service;
-  /// Its place among all domains of the service, so that domains too small for
-  /// all models share these out.
+  /// Position among all domains of the service. Domains that are too small for
+  /// one group of each model start with different models by it.
   std::size_t DomainIndex = 0;
   /// All listed targets of the domain.
   std::vector<TargetRef> Targets;
-  /// Those that went lately.
+  /// Targets that the registry removed recently.
   std::vector<RemovedTarget> Removed;
-  /// Fates of members that went, as far as asked.
+  /// Statuses of removed members that were queried.
   std::map<VmLife, MemberStatus> Statuses;
-  /// Groups that serve now, by model, over all domains.
+  /// Groups that serve now, by model, in all domains.
   std::map<std::string, unsigned> ServingGroups;
-  /// Groups of the other domains, by model, as forecastDomains() says.
+  /// Groups of the other domains, by model, as forecast by forecastDomains().
   GroupCounts OtherGroups;
-  /// Of these, the ones in this domain's data centre, and how many data centres
-  /// have VMs of the service.
+  /// Of these, the groups in this domain's data centre.
   GroupCounts OtherGroupsInCentre;
+  /// Data centres that have VMs of the service.
   std::size_t CentreCount = 1;
-  /// How Elsewhere changes where the domains before this one close small groups
-  /// for large ones. Each owner takes it that those before it do, so that not
-  /// all of them make up for the same lack.
+  /// Change of OtherGroups if the domains ordered before this one trade a small
+  /// group for a large one. Owners assume these trades, so that they do not all
+  /// compensate for the same shortage.
   GroupCounts EarlierTrades;
-  /// Listed targets that do not answer while their group's head stands still:
-  /// taken for dead, ahead of the registry.
+  /// Listed targets that do not respond while their group's head is stalled;
+  /// treated as dead before the registry removes them.
   std::set<VmLife> PresumedDead;
-  /// Orders carry epochs above this: the owner's fence.
+  /// New groups get epochs above this, which derives from the owner's fence.
   std::uint64_t EpochFloor = 0;
   /// Groups with epochs up to this were formed before this ownership began.
   std::uint64_t PriorEpochMax = 0;
-  /// What callers ask of each model in a second, over all nodes; empty where
-  /// only operators' figures are known.
+  /// Demand per model, per second, over all nodes. Empty where only the
+  /// operators' figures are known.
   DemandTable Demand;
-  /// Loads of weights from the shared store whose turn it is, as
-  /// scheduleLoads() says, within the owner's LoadBudget; UnlimitedLoads where
-  /// they are not bounded.
+  /// Loads from the shared store that the domain may start now, as
+  /// scheduleLoads() says and within the owner's LoadBudget, or UnlimitedLoads.
   unsigned LoadsAllowed = 0;
-  /// Further loads that the store serves at full speed.
+  /// Further loads that the store can serve at full speed.
   unsigned SpareLoads = 0;
-  /// Models of which no other domain has more groups that serve, or as many
-  /// and comes first: where such groups are to give way, this one begins.
+  /// Models of which this domain has the most serving groups; ties go to the
+  /// domain that comes first. Only this domain converts groups of them.
   std::set<std::string> ReleasableModels;
-  /// In some domain a group is closing.
+  /// Whether a group is closing in any domain.
   bool AnyGroupClosing = false;
-  /// For so long after a member was seen to drain its group goes on.
+  /// How long a group goes on serving after a member starts to drain.
   Millis DrainGracePeriod{0};
   TimePoint Now;
 };
 
-/// Plans one domain's groups: which models get how many, which VMs form them,
-/// and what each has to be told next. A step looks at what the VMs announce,
-/// compares it with what it ordered, and gives the next orders; it keeps no
-/// truth of its own, so a new owner begins from the announcements alone.
+/// Plans the groups of one domain: how many per model, of which VMs, and which
+/// orders to send next. Each step compares what the VMs announce with what was
+/// ordered. Its own
+/// state is not persisted: a new owner starts from the announcements alone.
 ///
-/// Rules that hold whatever is lost, late or repeated:
-/// - A VM is taken into a new group only when the head of its present one is
-///   known not to be open or closing.
-/// - A head is opened only after each member announced ready under the same
-///   name and epoch, and only in a group of this ownership: an earlier owner's
-///   orders may still be on their way to members of its groups.
-/// - Before members of a group that does not serve are used, its head has to
-///   leave: an order to open may still be on its way. Where the head cannot be
-///   asked, each member has to leave itself: a head that lives after all then
-///   stands still, and no VM is in two groups.
-/// - Epochs rise with each new group, so what arrives late is refused.
+/// Invariants, whatever messages are lost, late or repeated:
+/// - A VM joins a new group only after the head of its current group is known
+///   to be neither open nor closing.
+/// - A head is opened only after every member announced ready under the same
+///   name and epoch, and only in a group of this ownership: orders of an
+///   earlier owner may still be in flight to members of its groups.
+/// - Before members of a group that does not serve are reused, its head has to
+///   leave, since an order to open may still be in flight. Where the head
+///   cannot be reached, every member has to leave instead: a head that is alive
+///   after all then stalls, and no VM is in two groups.
+/// - Epochs rise with each new group, so late orders are refused.
 class DomainPlanner {
 public:
+  /// Runs one planning step and returns the orders to send.
   std::vector<GroupOrder> step(const DomainView &View,
                                const EngineSpec &Engine);
-  /// The target of \p Order, a Leave, is no longer in that group. Where it was
-  /// the head, all members are free.
+  /// Reports that the target of \p Order, a Leave, is no longer in that group.
+  /// If it was the head, all members become free.
   void onLeaveConfirmed(const GroupOrder &Order);
-  /// Members that went and whose fate has to be asked.
+  /// Removed members whose status the last step needs.
   const std::vector<RemovedTarget> &statusQueries() const {
     return this->StatusQueries;
   }
 
 private:
-  /// A group as its members announce it.
+  /// A group as announced by its members.
   struct AnnouncedGroup {
     std::map<unsigned, TargetRef> Ranks;
     TargetRef Head;
     bool AnyDraining = false;
     bool AllReady = true;
   };
-  /// A group that this planner ordered and that is not open yet.
+  /// A group that this planner ordered, or adopted from an earlier owner, and
+  /// that is not open yet.
   struct FormingGroup {
     std::string Model;
     std::vector<VmLife> Members;
@@ -142,17 +143,19 @@
   struct Step;
 
   static void collect(Step &S);
-  void reviewGroup(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
-  MemberStatus statusOf(const Step &S, const RemovedTarget &Row);
-  bool isComplete(Step &S, const GroupKey &Key, const AnnouncedGroup &Row,
+  void reviewGroup(Step &S, const GroupKey &Key, const AnnouncedGroup &Group);
+  MemberStatus statusOf(const Step &S, const RemovedTarget &Target);
+  bool isComplete(Step &S, const GroupKey &Key, const AnnouncedGroup &Group,
                   std::size_t Size);
   bool servesWhileDraining(const Step &S, const GroupKey &Key,
-                           const AnnouncedGroup &Row);
-  void reviewHeadless(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
-  void reviewForming(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
-  void release(Step &S, const GroupKey &Key, const AnnouncedGroup &Row,
+                           const AnnouncedGroup &Group);
+  void reviewHeadless(Step &S, const GroupKey &Key,
+                      const AnnouncedGroup &Group);
+  void reviewForming(Step &S, const GroupKey &Key, const AnnouncedGroup &Group);
+  void release(Step &S, const GroupKey &Key, const AnnouncedGroup &Group,
                const std::string &Reason);
-  void releaseMembers(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  void releaseMembers(Step &S, const GroupKey &Key,
+                      const AnnouncedGroup &Group);
   void dropStaleForming(Step &S);
   void formMissing(Step &S);
   std::vector<TargetRef> freeVmsFor(const Step &S,
@@ -167,7 +170,7 @@
   bool mayConvert(const Step &S) const;
   void expireReservations(const Step &S);
   void loadReserved(Step &S);
-  /// Groups of one model that give way to others.
+  /// Closes groups of one model to form groups of another.
   struct Conversion {
     const ModelSpec *From = nullptr;
     const ModelSpec *To = nullptr;
@@ -181,11 +184,11 @@
   void warmUpReserves(Step &S);
   void joinLoadGroup(Step &S, const TargetRef &Vm, const ModelSpec &Model,
                      const std::string &Reason);
-  bool reviewWarmUp(Step &S, const GroupKey &Key, const AnnouncedGroup &Row);
+  bool reviewWarmUp(Step &S, const GroupKey &Key, const AnnouncedGroup &Group);
   void trackWarmUps(Step &S);
   void stageMissing(Step &S);
   void stageSpares(Step &S);
-  /// A group to load weights for.
+  /// VMs that make up a group once the missing weights are loaded.
   struct LoadPlan {
     const ModelSpec *Model = nullptr;
     std::vector<TargetRef> Members;
@@ -202,42 +205,43 @@
   bool tryStartLoad(Step &S, int AtOnce);
   void stageModel(Step &S, const TargetRef &Vm, const ModelSpec &Model,
                   int AtOnce);
-  /// Gives an order, unless the same was given a short while ago.
+  /// Adds an order unless the same one was sent a short time ago.
   void addOrder(Step &S, OrderKind Kind, const TargetRef &To,
                 const GroupKey &Group, const std::string &Reason,
                 const std::string &Model = std::string());
   bool isSettled(const DomainView &View);
 
   std::map<GroupKey, FormingGroup> Pending;
-  /// Groups whose head took the order to leave.
+  /// Groups whose head has left.
   std::set<GroupKey> LeftGroups;
-  /// Members of groups without head that took the order to leave.
+  /// Members of groups without a head that have left.
   std::set<std::pair<GroupKey, VmLife>> LeftMembers;
-  /// Groups that did not form in time; never opened by this planner.
+  /// Groups that did not form in time or were preempted; never opened again.
   std::set<GroupKey> AbandonedGroups;
-  /// Since when a member of the group drains.
+  /// When a member of the group was first seen draining.
   std::map<GroupKey, TimePoint> DrainingSince;
   std::map<std::tuple<GroupKey, OrderKind, VmLife>, TimePoint> LastOrderAt;
-  /// When weights were ordered onto a host, by model.
+  /// When staging of a model was last ordered on a VM's host.
   std::map<std::pair<VmLife, std::string>, TimePoint> StagingOrderedAt;
-  /// A group of one VM that only loads its weights.
+  /// A load group: one VM that only loads weights.
   struct WarmUp {
     VmLife Vm;
     TimePoint Since;
-    /// From the shared store, not from its host.
+    /// Loads from the shared store rather than from the host.
     bool Cold = false;
   };
   std::map<GroupKey, WarmUp> WarmUps;
   std::set<VmLife> WarmUpTried;
-  /// VMs whose group gave way, the model that they are to load, and until when.
+  /// The model that a VM of a converted group has to load, and how long the VM
+  /// is reserved for it.
   struct ModelReservation {
     std::string Model;
     TimePoint Until;
   };
   std::map<VmLife, ModelReservation> Reservations;
-  /// When a group was last seen to close anywhere.
+  /// When a group in any domain was last seen closing.
   TimePoint LastClosingAt;
-  /// Since when each VM that is free has been so.
+  /// Since when each free VM has been free.
   std::map<VmLife, TimePoint> FreeSince;
   std::vector<RemovedTarget> StatusQueries;
   std::uint64_t LastEpoch = 0;
@@ -246,11 +250,11 @@
   bool Started = false;
 };
 
-/// How many groups of each model \p Vms make, the models in the order of
-/// \p Engine: one of each in turn, the largest first, while they fit. Groups of
-/// smaller models are the reserve of larger ones: their hosts have the larger
-/// model staged, and are taken where a group of it lost a member. Where not one
-/// of each fits, domains begin with different models, by their \p DomainIndex.
+/// Returns how many groups of each model to form of \p Vms VMs, in the order of
+/// \p Engine's models: one of each in turn, the largest first, while they fit.
+/// Groups of smaller models are reserves for larger ones: their hosts also
+/// stage the larger model, and replace lost members of its groups. Where one of
+/// each does not fit, domains start with different models by \p DomainIndex.
 std::vector<unsigned> planGroupCounts(const EngineSpec &Engine, std::size_t Vms,
                                       std::size_t DomainIndex = 0);
 
--- a/src/policy/domain_review.cpp
+++ b/src/policy/domain_review.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Judging the groups that are there: which serve, form, have to be closed or
-// left, and whose members must not be taken.
+// Review of the announced groups: which of them serve or are forming, which
+// have to be closed or left, and whose members must not be reused.
 
 #include "policy/domain_step.h"
 
@@ -11,158 +11,164 @@
 
 namespace waycove {
 
+/// Determines the state of an announced group and adds the order that it needs.
 void DomainPlanner::reviewGroup(Step &S, const GroupKey &Key,
-                                const AnnouncedGroup &Row) {
-  bool Serves = Row.Head && (Row.Head->Group->State == MemberState::Open ||
-                             Row.Head->Group->State == MemberState::Closing);
-  if (this->LeftGroups.contains(Key) || this->reviewWarmUp(S, Key, Row))
+                                const AnnouncedGroup &Group) {
+  bool Serves =
+      Group.Head && (Group.Head->Group->State == MemberState::Open ||
+                     Group.Head->Group->State == MemberState::Closing);
+  if (this->LeftGroups.contains(Key) || this->reviewWarmUp(S, Key, Group))
     return;
   if (this->AbandonedGroups.contains(Key) && !Serves)
-    return this->release(S, Key, Row, "given up");
+    return this->release(S, Key, Group, "given up");
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
   std::size_t Size = Model ? Model->GroupSize : 0;
-  if (!Row.Head)
-    return this->reviewHeadless(S, Key, Row);
-  bool Whole = this->isComplete(S, Key, Row, Size);
-  MemberState State = Row.Head->Group->State;
+  if (!Group.Head)
+    return this->reviewHeadless(S, Key, Group);
+  bool Complete = this->isComplete(S, Key, Group, Size);
+  MemberState State = Group.Head->Group->State;
   if (State == MemberState::Broken)
     return;
   if (!Serves)
-    return this->reviewForming(S, Key, Row);
-  // The head serves: nobody of the group may be taken.
-  S.markBusy(Row);
+    return this->reviewForming(S, Key, Group);
+  // While the head serves, no member may be reused.
+  S.markBusy(Group);
   this->Pending.erase(Key);
-  if (Whole && (!Row.AnyDraining || this->servesWhileDraining(S, Key, Row))) {
+  if (Complete &&
+      (!Group.AnyDraining || this->servesWhileDraining(S, Key, Group))) {
     ++S.OwnCounts[Model->Name];
     return;
   }
-  OrderKind Kind = Whole ? OrderKind::Close : OrderKind::Leave;
+  OrderKind Kind = Complete ? OrderKind::Close : OrderKind::Leave;
   if (Kind == OrderKind::Close && State == MemberState::Closing)
     return;
-  this->addOrder(S, Kind, Row.Head, Key,
-                 Whole ? "a member drains" : "a member is gone");
+  this->addOrder(S, Kind, Group.Head, Key,
+                 Complete ? "a member is draining" : "a member is gone");
 }
 
-/// Whether a group of which a member drains, but not the head, is to take
-/// requests for a while yet: the member serves on for a known time. Closing at
-/// once lost that time for each VM that operators replace, some 1.5 s of four
-/// VMs each.
+/// Whether a group with a draining member, other than the head, still takes
+/// requests: the member serves on for the drain grace period.
 bool DomainPlanner::servesWhileDraining(const Step &S, const GroupKey &Key,
-                                        const AnnouncedGroup &Row) {
-  if (Row.Head->Draining || Row.Head->Group->State != MemberState::Open)
+                                        const AnnouncedGroup &Group) {
+  if (Group.Head->Draining || Group.Head->Group->State != MemberState::Open)
     return false;
   TimePoint Since =
       this->DrainingSince.try_emplace(Key, S.View.Now).first->second;
   return S.View.Now - Since < S.View.DrainGracePeriod;
 }
 
-MemberStatus DomainPlanner::statusOf(const Step &S, const RemovedTarget &Row) {
-  // Asked for as long as it matters: who is cut off now may die later.
-  this->StatusQueries.push_back(Row);
-  auto At = S.View.Statuses.find(Row.Last->life());
+/// Status of a removed member, which is queried again after this step.
+MemberStatus DomainPlanner::statusOf(const Step &S,
+                                     const RemovedTarget &Target) {
+  // Queried as long as it matters: a member that is unreachable now may die.
+  this->StatusQueries.push_back(Target);
+  auto At = S.View.Statuses.find(Target.Last->life());
   return At == S.View.Statuses.end() ? MemberStatus::Unknown : At->second;
 }
 
-/// Whether all members are there, counting those that are only cut off from
-/// the registry, and those of which that is not known yet.
+/// Whether all members are present. Removed members count unless known to be
+/// dead, since they may only be cut off from the registry.
 bool DomainPlanner::isComplete(Step &S, const GroupKey &Key,
-                               const AnnouncedGroup &Row, std::size_t Size) {
-  std::size_t Present = Row.Ranks.size();
-  if (Present < Size && Row.Head->Group->State == MemberState::Open)
+                               const AnnouncedGroup &Group, std::size_t Size) {
+  std::size_t Present = Group.Ranks.size();
+  if (Present < Size && Group.Head->Group->State == MemberState::Open)
     for (const RemovedTarget &Removed : S.View.Removed)
       if (Removed.Last->Group && Removed.Last->Group->Group == Key &&
-          !Row.Ranks.contains(Removed.Last->Group->Rank) &&
+          !Group.Ranks.contains(Removed.Last->Group->Rank) &&
           this->statusOf(S, Removed) != MemberStatus::Dead)
         ++Present;
   return Present >= Size;
 }
 
+/// Reviews a group whose head is not listed or is presumed dead.
 void DomainPlanner::reviewHeadless(Step &S, const GroupKey &Key,
-                                   const AnnouncedGroup &Row) {
+                                   const AnnouncedGroup &Group) {
   if (this->Pending.contains(Key))
-    return this->reviewForming(S, Key, Row);
+    return this->reviewForming(S, Key, Group);
   auto Head = std::find_if(S.View.Removed.begin(), S.View.Removed.end(),
                            [&](const RemovedTarget &Removed) {
                              return Removed.Last->Group &&
                                     Removed.Last->Group->Group == Key &&
                                     Removed.Last->Group->Rank == 0;
                            });
-  // Listed but lost, moved to another group, or never seen: nobody to ask.
+  // The head is presumed dead, moved to another group, or was never listed.
   if (Head == S.View.Removed.end())
-    return this->releaseMembers(S, Key, Row);
-  MemberStatus Fate = this->statusOf(S, *Head);
-  if (Fate == MemberStatus::Dead)
-    return this->releaseMembers(S, Key, Row);
-  S.markBusy(Row);
-  if (Fate == MemberStatus::Alive)
+    return this->releaseMembers(S, Key, Group);
+  MemberStatus Status = this->statusOf(S, *Head);
+  if (Status == MemberStatus::Dead)
+    return this->releaseMembers(S, Key, Group);
+  S.markBusy(Group);
+  if (Status == MemberStatus::Alive)
     this->addOrder(S, OrderKind::Leave, Head->Last, Key,
-                   "its entry in the registry is gone");
+                   "its registry entry was removed");
 }
 
-/// Frees the members of a group whose head cannot be told to leave.
+/// Orders each member of a group to leave whose head cannot be reached.
 void DomainPlanner::releaseMembers(Step &S, const GroupKey &Key,
-                                   const AnnouncedGroup &Row) {
-  for (const auto &[Rank, Vm] : Row.Ranks) {
+                                   const AnnouncedGroup &Group) {
+  for (const auto &[Rank, Vm] : Group.Ranks) {
     if (this->LeftMembers.contains({Key, Vm->life()}))
       continue;
     S.Busy.insert(Vm->life());
-    this->addOrder(S, OrderKind::Leave, Vm, Key, "its head is lost");
+    this->addOrder(S, OrderKind::Leave, Vm, Key, "its head was lost");
   }
 }
 
+/// Opens a group once all members are ready, and releases it if a member drains
+/// or if it does not form in time.
 void DomainPlanner::reviewForming(Step &S, const GroupKey &Key,
-                                  const AnnouncedGroup &Row) {
+                                  const AnnouncedGroup &Group) {
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
-  if (!Model || Row.AnyDraining)
-    return this->release(S, Key, Row, "a member drains");
-  bool Whole = Row.Ranks.size() == Model->GroupSize;
-  auto Mine = this->Pending.find(Key);
-  if (Whole && Row.AllReady && Key.Epoch <= S.View.PriorEpochMax)
-    return this->release(S, Key, Row, "formed by an earlier owner");
-  if (Whole && Row.AllReady) {
-    S.markBusy(Row);
+  if (!Model || Group.AnyDraining)
+    return this->release(S, Key, Group, "a member is draining");
+  bool Complete = Group.Ranks.size() == Model->GroupSize;
+  auto Own = this->Pending.find(Key);
+  if (Complete && Group.AllReady && Key.Epoch <= S.View.PriorEpochMax)
+    return this->release(S, Key, Group, "formed by an earlier owner");
+  if (Complete && Group.AllReady) {
+    S.markBusy(Group);
     ++S.OwnCounts[Model->Name];
-    this->addOrder(S, OrderKind::Open, Row.Head, Key, "all are ready",
+    this->addOrder(S, OrderKind::Open, Group.Head, Key, "all members are ready",
                    Model->Name);
     return;
   }
   TimePoint Now = S.View.Now;
-  if (Mine == this->Pending.end()) {
-    // An earlier owner's, still loading: give it time once.
+  if (Own == this->Pending.end()) {
+    // Ordered by an earlier owner and still loading: adopt it.
     FormingGroup Adopted{Model->Name, {}, Now, formTimeout(Model->LoadTime)};
-    for (const auto &[Rank, Vm] : Row.Ranks)
+    for (const auto &[Rank, Vm] : Group.Ranks)
       Adopted.Members.push_back(Vm->life());
-    if (!Whole)
+    if (!Complete)
       Adopted.Timeout = OrderVisibilityTimeout;
-    Mine = this->Pending.emplace(Key, std::move(Adopted)).first;
+    Own = this->Pending.emplace(Key, std::move(Adopted)).first;
   }
-  bool Shown = Whole || Now - Mine->second.Since < OrderVisibilityTimeout;
-  if (!Shown || Now - Mine->second.Since > Mine->second.Timeout) {
-    this->Pending.erase(Mine);
+  bool Shown = Complete || Now - Own->second.Since < OrderVisibilityTimeout;
+  if (!Shown || Now - Own->second.Since > Own->second.Timeout) {
+    this->Pending.erase(Own);
     this->AbandonedGroups.insert(Key);
-    return this->release(S, Key, Row, "it does not form in time");
+    return this->release(S, Key, Group, "it did not form in time");
   }
-  S.markBusy(Row);
+  S.markBusy(Group);
 }
 
-/// Frees the members of a group that does not serve. An order to open it may
-/// still be on its way to the head, so the head has to leave first.
+/// Releases the members of a group that does not serve. The head has to leave
+/// first, since an order to open may still be in flight to it.
 void DomainPlanner::release(Step &S, const GroupKey &Key,
-                            const AnnouncedGroup &Row,
+                            const AnnouncedGroup &Group,
                             const std::string &Reason) {
-  if (!Row.Head)
-    return this->releaseMembers(S, Key, Row);
-  if (Row.Head->Group->State == MemberState::Broken)
+  if (!Group.Head)
+    return this->releaseMembers(S, Key, Group);
+  if (Group.Head->Group->State == MemberState::Broken)
     return;
-  S.markBusy(Row);
-  this->addOrder(S, OrderKind::Leave, Row.Head, Key, Reason);
+  S.markBusy(Group);
+  this->addOrder(S, OrderKind::Leave, Group.Head, Key, Reason);
 }
 
-/// Members that were ordered and do not show it yet are kept back too; a
-/// group of which a member went, or that does not show in time, is given up.
+/// Marks the members of forming groups busy, also those that do not announce
+/// the group yet. Drops groups that lost a member or are not announced in time.
 void DomainPlanner::dropStaleForming(Step &S) {
   std::erase_if(this->Pending, [&](const auto &Entry) {
-    const auto &[Key, Row] = Entry;
+    const auto &[Key, Forming] = Entry;
     auto Listed = [&](const VmLife &Life) {
       return std::any_of(S.View.Targets.begin(), S.View.Targets.end(),
                          [&](const TargetRef &T) {
@@ -170,17 +176,18 @@
                          });
     };
     bool Late = !S.Groups.contains(Key) &&
-                S.View.Now - Row.Since > OrderVisibilityTimeout;
-    if (Late || !std::all_of(Row.Members.begin(), Row.Members.end(), Listed)) {
+                S.View.Now - Forming.Since > OrderVisibilityTimeout;
+    if (Late ||
+        !std::all_of(Forming.Members.begin(), Forming.Members.end(), Listed)) {
       this->AbandonedGroups.insert(Key);
       return true;
     }
-    for (const VmLife &Life : Row.Members)
+    for (const VmLife &Life : Forming.Members)
       S.Busy.insert(Life);
     auto Shown = S.Groups.find(Key);
     if (Shown == S.Groups.end() || !Shown->second.AllReady ||
-        Shown->second.Ranks.size() != Row.Members.size())
-      ++S.OwnCounts[Row.Model];
+        Shown->second.Ranks.size() != Forming.Members.size())
+      ++S.OwnCounts[Forming.Model];
     return false;
   });
 }
--- a/src/policy/domain_step.cpp
+++ b/src/policy/domain_step.cpp
@@ -10,29 +10,28 @@
 
 namespace {
 
-/// A group forms in its load time; shared loading may double it.
-constexpr int LoadTimeFactor = 3;
+/// Allows for loads that share the store's bandwidth.
+constexpr int FormTimeFactor = 3;
 constexpr Millis FormSlack(3000);
-/// Part of the time for which a data centre counts as cut off. On a day with
-/// one such cut of 6 s in 41, a centre without any group of a model lost all of
-/// that model's callers there meanwhile, 4 in 100 of the day's.
+/// Assumed fraction of the time for which a data centre is partitioned from the
+/// others.
 constexpr double PartitionProbability = 0.05;
 
 } // namespace
 
 std::vector<const ModelSpec *> modelsLargestFirst(const EngineSpec &Engine) {
-  std::vector<const ModelSpec *> Rows;
-  for (const ModelSpec &Row : Engine.Models)
-    Rows.push_back(&Row);
-  std::stable_sort(Rows.begin(), Rows.end(),
+  std::vector<const ModelSpec *> Models;
+  for (const ModelSpec &Model : Engine.Models)
+    Models.push_back(&Model);
+  std::stable_sort(Models.begin(), Models.end(),
                    [](const ModelSpec *Left, const ModelSpec *Right) {
                      return Left->GroupSize > Right->GroupSize;
                    });
-  return Rows;
+  return Models;
 }
 
 Millis formTimeout(Millis LoadTime) {
-  return LoadTime * LoadTimeFactor + FormSlack;
+  return LoadTime * FormTimeFactor + FormSlack;
 }
 
 GroupCounts DomainPlanner::Step::ownGroups() const {
@@ -48,38 +47,39 @@
 
 double DomainPlanner::Step::loadOf(const ModelSpec &Model,
                                    const GroupCounts &Own) const {
-  auto Asked = this->Demand.find(Model.Name);
+  auto Requested = this->Demand.find(Model.Name);
   auto Here = Own.find(Model.Name);
   auto There = this->View.OtherGroups.find(Model.Name);
   double Groups = (Here == Own.end() ? 0 : Here->second) +
                   (There == this->View.OtherGroups.end() ? 0 : There->second);
-  return Asked == this->Demand.end()
+  return Requested == this->Demand.end()
              ? 0
-             : groupLoad(this->Engine, Model, Asked->second, Groups);
+             : groupLoad(this->Engine, Model, Requested->second, Groups);
 }
 
 double DomainPlanner::Step::gainOf(const ModelSpec &Model,
                                    const GroupCounts &Own) const {
-  auto Asked = this->Demand.find(Model.Name);
-  if (Asked == this->Demand.end())
+  auto Requested = this->Demand.find(Model.Name);
+  if (Requested == this->Demand.end())
     return 0;
   auto Count = [&](const GroupCounts &Groups) {
     auto At = Groups.find(Model.Name);
     return At == Groups.end() ? 0.0 : At->second;
   };
   double Has = Count(Own) + Count(this->View.OtherGroups);
-  double Gain = modelLoss(this->Engine, Model, Asked->second, Has) -
-                modelLoss(this->Engine, Model, Asked->second, Has + 1);
+  double Gain = modelLoss(this->Engine, Model, Requested->second, Has) -
+                modelLoss(this->Engine, Model, Requested->second, Has + 1);
   if (Count(Own) + Count(this->View.OtherGroupsInCentre) < 1)
-    Gain += this->cutOffLoss(Asked->second);
+    Gain += this->cutOffLoss(Requested->second);
   return Gain;
 }
 
-/// What callers of a model lose that has no group in this data centre.
-double DomainPlanner::Step::cutOffLoss(const ModelDemand &Asked) const {
+/// Expected loss of a model's callers in this data centre if it has no group
+/// there.
+double DomainPlanner::Step::cutOffLoss(const ModelDemand &Requested) const {
   if (this->View.CentreCount < 2)
     return 0;
-  return PartitionProbability * Asked.weightedTokens() /
+  return PartitionProbability * Requested.weightedTokens() /
          static_cast<double>(this->View.CentreCount);
 }
 
@@ -99,9 +99,9 @@
     Centre[Model] += Count;
   }
   double Loss = serviceLoss(this->Engine, this->Demand, All);
-  for (const auto &[Model, Asked] : this->Demand)
+  for (const auto &[Model, Requested] : this->Demand)
     if (Centre[Model] < 1)
-      Loss += this->cutOffLoss(Asked);
+      Loss += this->cutOffLoss(Requested);
   return Loss;
 }
 
@@ -112,8 +112,8 @@
                      });
 }
 
-bool DomainPlanner::Step::isUsable(const TargetInfo &Row) const {
-  return !Row.Draining && !this->View.PresumedDead.contains(Row.life());
+bool DomainPlanner::Step::isUsable(const TargetInfo &Target) const {
+  return !Target.Draining && !this->View.PresumedDead.contains(Target.life());
 }
 
 bool DomainPlanner::Step::isShort(const ModelSpec &Model) const {
@@ -129,14 +129,14 @@
 
 std::vector<TargetRef> DomainPlanner::Step::freeVms() const {
   std::vector<TargetRef> Free;
-  for (const TargetRef &Row : this->View.Targets)
-    if (this->isUsable(*Row) && !this->Busy.contains(Row->life()))
-      Free.push_back(Row);
+  for (const TargetRef &Target : this->View.Targets)
+    if (this->isUsable(*Target) && !this->Busy.contains(Target->life()))
+      Free.push_back(Target);
   return Free;
 }
 
-void DomainPlanner::Step::markBusy(const AnnouncedGroup &Row) {
-  for (const auto &[Rank, Vm] : Row.Ranks)
+void DomainPlanner::Step::markBusy(const AnnouncedGroup &Group) {
+  for (const auto &[Rank, Vm] : Group.Ranks)
     this->Busy.insert(Vm->life());
 }
 
--- a/src/policy/domain_step.h
+++ b/src/policy/domain_step.h
@@ -4,70 +4,70 @@
 
 #pragma once
 
-// Shared by the files that define DomainPlanner, and by nobody else.
+// Internal to the files that implement DomainPlanner.
 
 #include "policy/domain_plan.h"
 
 namespace waycove {
 
-/// One planning step under way: how the domain looks, what was found out and
-/// decided so far. It ends with the step.
+/// Working state of one planning step.
 struct DomainPlanner::Step {
   const DomainView &View;
   const EngineSpec &Engine;
   std::map<GroupKey, AnnouncedGroup> Groups{};
-  /// VMs that must not be taken.
+  /// VMs that must not be used for new groups.
   std::set<VmLife> Busy{};
-  /// Groups per model that serve or will.
+  /// Groups of this domain per model that serve or are forming.
   std::map<std::string, unsigned> OwnCounts{};
-  /// Groups per model that the domain's VMs make, as planGroupCounts() says.
+  /// Target group counts from planGroupCounts().
   std::vector<unsigned> Wanted{};
   std::vector<GroupOrder> Orders{};
   unsigned RemainingLoads = 0;
   unsigned RemainingSpareLoads = 0;
   DemandTable Demand{};
 
-  /// Groups of the domain that serve or will.
+  /// OwnCounts as GroupCounts.
   GroupCounts ownGroups() const;
-  /// What callers lose where the domain has \p Own groups: as serviceLoss()
-  /// says with those of all domains, and for models without any group in this
-  /// data centre, which may be cut off and has to serve its callers alone then.
+  /// Service loss if the domain has \p Own groups, as serviceLoss() computes it
+  /// over all domains, plus the expected loss of models that have no group in
+  /// this data centre while it is partitioned from the others.
   double lossOf(const GroupCounts &Own) const;
-  /// How loaded the groups of \p Model are, over all domains.
+  /// Load of the groups of \p Model over all domains.
   double loadOf(const ModelSpec &Model, const GroupCounts &Own) const;
-  /// How much of it one more group of \p Model saves.
+  /// How much one more group of \p Model reduces the loss.
   double gainOf(const ModelSpec &Model, const GroupCounts &Own) const;
-  /// The same as lossOf() where the domains before this one trade groups.
+  /// Like lossOf(), assuming the trades of DomainView::EarlierTrades.
   double lossAfterTrades(const GroupCounts &Own) const;
-  /// Whether any model is served anywhere.
+  /// Whether any group serves in any domain.
   bool anyServes() const;
-  bool isUsable(const TargetInfo &Row) const;
-  /// Whether the model has fewer groups than the domain's VMs make.
+  /// Whether the VM neither drains nor is presumed dead.
+  bool isUsable(const TargetInfo &Target) const;
+  /// Whether the model has fewer groups than Wanted.
   bool isShort(const ModelSpec &Model) const;
-  /// Whether weights are to be on the hosts before a group forms. Loads from
-  /// the shared store take many seconds: meanwhile the others may serve, and
-  /// one that dies takes no others with it.
+  /// Whether weights have to be on the hosts before a group forms. Loads from
+  /// the shared store take long; meanwhile the other VMs can serve, and a VM
+  /// that dies while loading does not break a group.
   bool loadsBeforeForming() const;
+  /// Usable VMs that are not busy.
   std::vector<TargetRef> freeVms() const;
   double lossWith(const GroupCounts &OtherGroups, const GroupCounts &Own) const;
-  double cutOffLoss(const ModelDemand &Asked) const;
-  /// Keeps the group's members from being taken in this step.
-  void markBusy(const AnnouncedGroup &Row);
+  double cutOffLoss(const ModelDemand &Requested) const;
+  /// Marks all members of the group busy for this step.
+  void markBusy(const AnnouncedGroup &Group);
 };
 
-/// A group of VMs that hold another model's weights loaded, or one in place of
-/// another group, has to save at least this part of what callers lose: the VMs
-/// lose weights that take many seconds to load again.
+/// Minimum reduction of the loss, as a fraction, for forming a group that
+/// replaces loaded weights of another model or another group.
 inline constexpr double MinGain = 0.15;
 
-/// A member shows a join within about 0.6 s; past this the order is taken for
-/// lost and outbid.
+/// An order to join that the registry does not show after this time is treated
+/// as lost.
 inline constexpr Millis OrderVisibilityTimeout{1500};
 
-/// The models of \p Engine, those with the largest groups first.
+/// The models of \p Engine, sorted by group size, largest first.
 std::vector<const ModelSpec *> modelsLargestFirst(const EngineSpec &Engine);
 
-/// How long a group may take to form where its weights load in \p LoadTime.
+/// Maximum time for a group to form whose weights load in \p LoadTime.
 Millis formTimeout(Millis LoadTime);
 
 } // namespace waycove
--- a/src/policy/group_load.h
+++ b/src/policy/group_load.h
@@ -11,11 +11,11 @@
 
 namespace waycove {
 
-/// What callers ask of one model, in a second, over all nodes.
+/// Demand for one model: requests and tokens per second over all nodes.
 struct ModelDemand {
   double Requests = 0;
   double PromptTokens = 0;
-  /// As far as callers and operators tell it ahead.
+  /// Expected from what callers and operators declare.
   double OutputTokens = 0;
 
   void add(const ModelDemand &Other) {
@@ -27,7 +27,8 @@
     return {this->Requests * Factor, this->PromptTokens * Factor,
             this->OutputTokens * Factor};
   }
-  /// In tokens of a prompt; a token of an answer costs an engine about ten.
+  /// Cost in prompt tokens; an output token counts as OutputTokenWeight of
+  /// them.
   double weightedTokens() const {
     return this->PromptTokens + OutputTokenWeight * this->OutputTokens;
   }
@@ -39,55 +40,53 @@
 /// By model.
 using DemandTable = std::map<std::string, ModelDemand>;
 
-/// Part of the counted demand that still counts a second later: about the last
-/// ten seconds weigh.
+/// Factor applied to the counted demand each second; averages over about ten
+/// seconds.
 inline constexpr double DemandDecay = 0.9;
 
-/// The demand of a second over all nodes, from what was counted at nodes whose
-/// part of the requests is \p Part. What callers say of their answers' length
-/// is corrected by the operators' figure of a usual one; models that nobody
-/// asked for keep a small part of what operators expect.
+/// Estimates the demand per second over all nodes from \p Counted, the decayed
+/// counts of nodes that receive the fraction \p RequestFraction of all
+/// requests. Output lengths declared by callers are scaled to the operators'
+/// typical output length. Models without requests keep a small part of their
+/// expected demand.
 DemandTable demandRates(const EngineSpec &Engine, const DemandTable &Counted,
-                        double Part);
+                        double RequestFraction);
 
-/// Groups by model; a fraction where a group is not certain.
+/// Number of groups by model; fractional where a group is uncertain.
 using GroupCounts = std::map<std::string, double>;
 
-/// Of a group whose slots are all taken, the time that a token of an answer
-/// takes, in milliseconds: its part of the step that all share, and what it
-/// makes that longer.
+/// Time per output token, in milliseconds, of a group with all slots in use:
+/// its part of the shared step plus its own cost.
 double outputTokenMillis(const EngineSpec &Engine);
 
-/// How loaded each of \p Groups groups of \p Model is when they share
-/// \p Demand: their rate as a part of that at which all slots are taken. A
-/// request holds its slot while it writes, and all wait while prompts are read;
-/// with S slots, A tokens of an answer, P of a prompt, steps of s + p B ms for
-/// B requests that write, and R prompt tokens read in a ms, Little's law gives
+/// Load of each of \p Groups groups of \p Model that share \p Demand: the
+/// request rate as a fraction of the rate at which all slots are in use; above
+/// 1, requests queue without bound. A request holds its slot while it
+/// generates, and generation pauses while prompts are read. With S slots, A
+/// output tokens and P prompt tokens per request, steps of s + p B ms for B
+/// generating requests, and R prompt tokens read per second, Little's law gives
 ///
 ///   B (1 - rate P / R) = rate A (s + p B), so that at B = S
 ///   1 / rate = A (s / S + p) + P / R.
 ///
-/// Above 1 requests queue without end. Without the step that all share, eight
-/// groups of 48 slots that made 290 answers of 150 tokens a second counted as
-/// loaded by 0.6, and each of their slots was taken. From the operators'
-/// figures of the engine; where they give none, in a unit that is the same for
-/// all models.
+/// Without the operators' figures of the engine, the load is in a unit that is
+/// the same for all models.
 double groupLoad(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups);
 
-/// What callers lose with \p Groups, in any unit: by model, the work that they
-/// ask for, and how loaded its groups are, to a high power, since almost no
-/// answer is late up to half of the load and almost all at full load. Where the
-/// least is lost, groups are shared out best.
+/// Cost to callers of serving \p Demand with \p Groups, in an arbitrary unit:
+/// the sum over all models of the requested work weighted by a high power of
+/// the load, since responses are rarely late at half load and nearly always at
+/// full load. The allocation of groups with the lowest loss is the best.
 double serviceLoss(const EngineSpec &Engine, const DemandTable &Demand,
                    const GroupCounts &Groups);
-/// One model's part of it. What one more group of a model gains has to be taken
-/// from its part alone: where another model has no group at all, the sum is so
-/// large that the difference is lost in rounding.
+/// The term of serviceLoss() for one model. The gain of one more group has to
+/// be computed from this term alone: if another model has no group, the sum is
+/// so large that the difference would be lost in rounding.
 double modelLoss(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups);
 
-/// The operators' own guess of the demand, for before callers came.
+/// The demand that operators expect, used until enough requests were counted.
 DemandTable expectedDemand(const EngineSpec &Engine);
 
 } // namespace waycove
--- a/src/policy/load_schedule.h
+++ b/src/policy/load_schedule.h
@@ -11,28 +11,27 @@
 
 namespace waycove {
 
-/// Loads that may begin now.
+/// Loads of weights that may start now.
 struct LoadSchedule {
   std::map<DomainId, unsigned> ByDomain;
-  /// Beyond these, as many as the store still serves at full speed.
+  /// Further loads that the store can serve at full speed.
   unsigned SpareLoads = 0;
 };
 
-/// How many loads of weights from the shared store each domain may begin now.
-/// The store serves a few loads at full speed, and all more slowly beyond: 35
-/// at a time where six run at full speed took 40 s each instead of 12, and
-/// hosts were lost before any group was whole. So loads queue: first those of
-/// models that nothing serves, then those that put most VMs to work for the
-/// time that they take, and last those of reserves. Every owner of a domain
-/// works out the same queue from the registry alone, in which a VM shows that
-/// it loads: it is joining a group whose weights its host does not hold.
+/// Computes how many loads of weights from the shared store each domain may
+/// start now. The store serves a limited number of loads at full speed and
+/// slows down beyond it, so loads are queued: first for models that no group
+/// serves, then for the groups that put the most VMs into service per load
+/// time, last for reserves. Every domain owner computes the same queue from the
+/// registry, in which a loading VM appears as joining a group whose weights are
+/// not on its host.
 ///
-/// \p Targets: all VMs of one service.
+/// \p Targets are all VMs of one service.
 LoadSchedule scheduleLoads(const std::vector<TargetRef> &Targets,
                            const EngineSpec &Engine);
 
-/// Whether the VM reads weights from the shared store, for a group that it
+/// Whether the VM is loading weights from the shared store for a group that it
 /// joins.
-bool isLoading(const TargetInfo &Row);
+bool isLoading(const TargetInfo &Target);
 
 } // namespace waycove
--- a/src/policy/urgency.h
+++ b/src/policy/urgency.h
@@ -8,18 +8,17 @@
 
 namespace waycove {
 
-/// The last of the ranks that targets tell apart, as their headers say.
+/// Largest rank, and so the least urgent, that the targets' header supports.
 inline constexpr unsigned LeastUrgent = 9;
 
-/// How long a caller has waited already when its request came, as far as it
-/// can be told: callers of a route have its whole time at first, and less when
-/// they come back. Zero where callers have less time than the route anyway.
-Millis priorWait(const HttpRoute &Route, std::optional<Millis> TimeLeft);
+/// How long the caller had waited when its request arrived, as far as can be
+/// inferred: a first request comes with the whole route timeout, a repeated one
+/// with less. Zero if the remaining time is unknown or exceeds the timeout.
+Millis priorWait(const HttpRoute &Route, std::optional<Millis> Remaining);
 
-/// How urgent a send is to a target, from 0, which goes first, to
-/// LeastUrgent. The operators' rank decides; of the same rank, requests that
-/// can still be in time go before those that are late whatever happens, since
-/// serving these first makes the others late too.
+/// Urgency of a request at a target, from 0 (first) to LeastUrgent. Determined
+/// by the operators' priority; within the same priority, requests that can
+/// still meet the route's goal precede those that are late already.
 unsigned urgencyOf(const HttpRoute &Route, const KeyOwner *Owner,
                    Millis Waited);
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -14,7 +14,7 @@
 MECHANISMS = {
     "head-leaves-first": (
         "src/policy/domain_review.cpp",
-        'return this->release(S, Key, Row, "given up");', "return;",
+        'return this->release(S, Key, Group, "given up");', "return;",
         "planner: lost, late"),
     "members-leave": (
         "src/policy/domain_review.cpp",
