--- a/src/policy/domain_forecast.cpp
+++ b/src/policy/domain_forecast.cpp
@@ -10,31 +10,31 @@
 
 namespace {
 
-/// One domain's VMs by what they are part of.
-struct Sorted {
+/// One domain's VMs: members of groups, and those that are free or load alone.
+struct DomainVms {
   std::map<GroupKey, std::vector<TargetRef>> Members;
-  std::vector<TargetRef> Loose;
+  std::vector<TargetRef> Free;
 };
 
-bool endsSoon(const TargetRef &Row) {
-  return Row->Draining || Row->Group->State == MemberState::Closing ||
-         Row->Group->State == MemberState::Broken;
+bool isEnding(const TargetRef &Target) {
+  return Target->Draining || Target->Group->State == MemberState::Closing ||
+         Target->Group->State == MemberState::Broken;
 }
 
-bool loadsAlone(const TargetRef &Row) {
-  return Row->Group && isLoadGroup(Row->Group->Group.Name);
+bool isInLoadGroup(const TargetRef &Target) {
+  return Target->Group && isLoadGroup(Target->Group->Group.Name);
 }
 
-bool hasWeights(const TargetRef &Row, const ModelSpec &Model) {
-  if (loadsAlone(Row))
-    return modelOf(Row->Group->Group.Name) == Model.Name;
-  return Row->hasStaged(Model.Name) || Row->hasLoaded(Model.Name);
+bool hasWeights(const TargetRef &Target, const ModelSpec &Model) {
+  if (isInLoadGroup(Target))
+    return modelOf(Target->Group->Group.Name) == Model.Name;
+  return Target->hasStaged(Model.Name) || Target->hasLoaded(Model.Name);
 }
 
-std::vector<const ModelSpec *> byGroupSize(const EngineSpec &Engine) {
+std::vector<const ModelSpec *> modelsBySize(const EngineSpec &Engine) {
   std::vector<const ModelSpec *> Models;
-  for (const ModelSpec &Row : Engine.Models)
-    Models.push_back(&Row);
+  for (const ModelSpec &Model : Engine.Models)
+    Models.push_back(&Model);
   std::stable_sort(Models.begin(), Models.end(),
                    [](const ModelSpec *Left, const ModelSpec *Right) {
                      return Left->GroupSize > Right->GroupSize;
@@ -42,61 +42,62 @@
   return Models;
 }
 
-bool isHeadIn(const TargetRef &Row, MemberState State) {
-  return Row->Group->Rank == 0 && Row->Group->State == State;
+bool isHeadIn(const TargetRef &Target, MemberState State) {
+  return Target->Group->Rank == 0 && Target->Group->State == State;
 }
 
-bool anyHeadIn(const std::vector<TargetRef> &Rows, MemberState State) {
-  return std::any_of(Rows.begin(), Rows.end(), [&](const TargetRef &Row) {
-    return isHeadIn(Row, State);
-  });
+bool anyHeadIn(const std::vector<TargetRef> &Members, MemberState State) {
+  return std::any_of(
+      Members.begin(), Members.end(),
+      [&](const TargetRef &Target) { return isHeadIn(Target, State); });
 }
 
-/// Counts whole groups, and adds the members of others to the loose VMs.
-GroupCounts countWhole(Sorted &Domain, const EngineSpec &Engine,
-                       DomainForecast &Into) {
+/// Counts complete groups, and adds the members of others to the free VMs.
+GroupCounts countCompleteGroups(DomainVms &Domain, const EngineSpec &Engine,
+                                DomainForecast &Forecast) {
   GroupCounts Groups;
-  for (const auto &[Key, Rows] : Domain.Members) {
+  for (const auto &[Key, Members] : Domain.Members) {
     const ModelSpec *Model = Engine.model(modelOf(Key.Name));
-    bool Whole = Model && Rows.size() >= Model->GroupSize &&
-                 std::none_of(Rows.begin(), Rows.end(), endsSoon);
-    Into.AnyGroupClosing |= anyHeadIn(Rows, MemberState::Closing);
-    if (Whole) {
+    bool Complete = Model && Members.size() >= Model->GroupSize &&
+                    std::none_of(Members.begin(), Members.end(), isEnding);
+    Forecast.AnyGroupClosing |= anyHeadIn(Members, MemberState::Closing);
+    if (Complete) {
       ++Groups[Model->Name];
-      if (anyHeadIn(Rows, MemberState::Open))
-        ++Into.ServingGroups[Model->Name];
+      if (anyHeadIn(Members, MemberState::Open))
+        ++Forecast.ServingGroups[Model->Name];
       continue;
     }
-    for (const TargetRef &Row : Rows)
-      if (!Row->Draining)
-        Domain.Loose.push_back(Row);
+    for (const TargetRef &Target : Members)
+      if (!Target->Draining)
+        Domain.Free.push_back(Target);
   }
   return Groups;
 }
 
-/// Takes the groups that the loose VMs make, the largest first.
-void takeLoose(Sorted &Domain, const EngineSpec &Engine, GroupCounts &Groups) {
-  for (const ModelSpec *Model : byGroupSize(Engine)) {
+/// Adds the groups that the free VMs can form, the largest first.
+void addGroupsOfFreeVms(DomainVms &Domain, const EngineSpec &Engine,
+                        GroupCounts &Groups) {
+  for (const ModelSpec *Model : modelsBySize(Engine)) {
     auto Others = std::stable_partition(
-        Domain.Loose.begin(), Domain.Loose.end(),
-        [&](const TargetRef &Row) { return hasWeights(Row, *Model); });
-    auto Has = static_cast<std::size_t>(Others - Domain.Loose.begin());
+        Domain.Free.begin(), Domain.Free.end(),
+        [&](const TargetRef &Target) { return hasWeights(Target, *Model); });
+    auto Has = static_cast<std::size_t>(Others - Domain.Free.begin());
     std::size_t Count = Has / Model->GroupSize;
     Groups[Model->Name] += static_cast<double>(Count);
-    Domain.Loose.erase(Domain.Loose.begin(),
-                       Domain.Loose.begin() + static_cast<std::ptrdiff_t>(
-                                                  Count * Model->GroupSize));
+    Domain.Free.erase(Domain.Free.begin(),
+                      Domain.Free.begin() + static_cast<std::ptrdiff_t>(
+                                                Count * Model->GroupSize));
   }
 }
 
-/// The largest model that what is loose and one smaller group make.
-GroupCounts tradeOf(const Sorted &Domain, const EngineSpec &Engine,
-                    const GroupCounts &Groups) {
-  std::vector<const ModelSpec *> Models = byGroupSize(Engine);
+/// Trade for the largest model that free VMs and one smaller group can form.
+GroupCounts bestTrade(const DomainVms &Domain, const EngineSpec &Engine,
+                      const GroupCounts &Groups) {
+  std::vector<const ModelSpec *> Models = modelsBySize(Engine);
   for (auto Large = Models.begin(); Large != Models.end(); ++Large) {
     auto Has = static_cast<std::size_t>(std::count_if(
-        Domain.Loose.begin(), Domain.Loose.end(),
-        [&](const TargetRef &Row) { return hasWeights(Row, **Large); }));
+        Domain.Free.begin(), Domain.Free.end(),
+        [&](const TargetRef &Target) { return hasWeights(Target, **Large); }));
     for (auto Small = Large + 1; Has > 0 && Small != Models.end(); ++Small)
       if (auto At = Groups.find((*Small)->Name);
           At != Groups.end() && At->second >= 1 &&
@@ -111,22 +112,22 @@
 std::map<DomainId, DomainForecast>
 forecastDomains(const std::vector<TargetRef> &Targets,
                 const EngineSpec &Engine) {
-  std::map<DomainId, Sorted> Domains;
-  std::map<DomainId, DomainForecast> Outlooks;
-  for (const TargetRef &Row : Targets) {
-    Outlooks[Row->Domain].Centre = Row->DataCentre;
-    if (Row->Group && !loadsAlone(Row))
-      Domains[Row->Domain].Members[Row->Group->Group].push_back(Row);
-    else if (!Row->Draining)
-      Domains[Row->Domain].Loose.push_back(Row);
+  std::map<DomainId, DomainVms> Domains;
+  std::map<DomainId, DomainForecast> Forecasts;
+  for (const TargetRef &Target : Targets) {
+    Forecasts[Target->Domain].Centre = Target->DataCentre;
+    if (Target->Group && !isInLoadGroup(Target))
+      Domains[Target->Domain].Members[Target->Group->Group].push_back(Target);
+    else if (!Target->Draining)
+      Domains[Target->Domain].Free.push_back(Target);
   }
-  for (auto &[Domain, Row] : Domains) {
-    DomainForecast &Outlook = Outlooks[Domain];
-    Outlook.Groups = countWhole(Row, Engine, Outlook);
-    takeLoose(Row, Engine, Outlook.Groups);
-    Outlook.Trade = tradeOf(Row, Engine, Outlook.Groups);
+  for (auto &[Domain, Vms] : Domains) {
+    DomainForecast &Forecast = Forecasts[Domain];
+    Forecast.Groups = countCompleteGroups(Vms, Engine, Forecast);
+    addGroupsOfFreeVms(Vms, Engine, Forecast.Groups);
+    Forecast.Trade = bestTrade(Vms, Engine, Forecast.Groups);
   }
-  return Outlooks;
+  return Forecasts;
 }
 
 } // namespace waycove
--- a/src/policy/domain_form.cpp
+++ b/src/policy/domain_form.cpp
@@ -2,8 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Forming groups of VMs that are free, and freeing VMs for the models that are
-// short of groups.
+// Forms groups of free VMs, and preempts smaller groups for larger ones.
 
 #include "policy/domain_step.h"
 
@@ -13,45 +12,46 @@
 
 namespace {
 
-/// 0 is best: the VM ran the model last, then its host has the weights.
-int loadRank(const TargetInfo &Row, const std::string &Model) {
-  if (Row.hasLoaded(Model))
+/// Cost rank of loading \p Model: 0 if the VM has it loaded, 1 if its host has
+/// the weights staged, else 2.
+int loadRank(const TargetInfo &Vm, const std::string &Model) {
+  if (Vm.hasLoaded(Model))
     return 0;
-  return Row.hasStaged(Model) ? 1 : 2;
+  return Vm.hasStaged(Model) ? 1 : 2;
 }
 
-/// Of \p Free, those that form a group of \p Model without losing weights of
-/// another one.
+/// Counts the VMs of \p Free that can serve \p Model without losing the weights
+/// of another model.
 std::size_t countOwn(const std::vector<TargetRef> &Free,
                      const ModelSpec &Model) {
   return static_cast<std::size_t>(
-      std::count_if(Free.begin(), Free.end(), [&](const TargetRef &Row) {
-        return Row->hasLoaded(Model.Name) ||
-               (Row->Loaded.empty() &&
-                (Row->Staged.empty() || Row->hasStaged(Model.Name)));
+      std::count_if(Free.begin(), Free.end(), [&](const TargetRef &Vm) {
+        return Vm->hasLoaded(Model.Name) ||
+               (Vm->Loaded.empty() &&
+                (Vm->Staged.empty() || Vm->hasStaged(Model.Name)));
       }));
 }
 
+/// Counts the VMs of \p Free that have the weights of \p Model.
 std::size_t countWarm(const std::vector<TargetRef> &Free,
                       const ModelSpec &Model) {
   return static_cast<std::size_t>(
-      std::count_if(Free.begin(), Free.end(), [&](const TargetRef &Row) {
-        return loadRank(*Row, Model.Name) < 2;
+      std::count_if(Free.begin(), Free.end(), [&](const TargetRef &Vm) {
+        return loadRank(*Vm, Model.Name) < 2;
       }));
 }
 
 } // namespace
 
-/// Forms groups of the VMs that are free. Where nothing serves yet and weights
-/// load freely, as the plan for all VMs says; else one after the other, each
-/// time the one with which callers win most. Where all heads were lost at once,
-/// the plan's groups may lack weights that take 12 s and more to load, while
-/// those that are there make others: ten VMs rested for eight seconds so.
+/// Forms groups of free VMs. If nothing serves yet and loads are not limited,
+/// follows planGroupCounts() for all usable VMs. Otherwise forms one group at a
+/// time, the one with the largest gain, since the planned groups may lack
+/// weights while the weights present allow others.
 void DomainPlanner::formMissing(Step &S) {
   if (!S.anyServes() && !S.loadsBeforeForming()) {
     auto Usable = static_cast<std::size_t>(
         std::count_if(S.View.Targets.begin(), S.View.Targets.end(),
-                      [&](const TargetRef &Row) { return S.isUsable(*Row); }));
+                      [&](const TargetRef &Vm) { return S.isUsable(*Vm); }));
     S.Wanted = planGroupCounts(S.Engine, Usable, S.View.DomainIndex);
     for (const ModelSpec *Model : modelsLargestFirst(S.Engine))
       while (S.isShort(*Model) && this->formGroup(S, *Model))
@@ -65,13 +65,13 @@
   }
 }
 
-/// The model of which one more group, of free VMs, serves callers best; null
-/// where none can form. Where it is better to close a smaller group for a
-/// larger one, that is done first, and nothing forms meanwhile.
+/// Returns the model of which one more group of free VMs gains most, or null if
+/// none can form. If closing a smaller group for a larger one is better, orders
+/// that instead; nothing forms until it is done.
 const ModelSpec *DomainPlanner::bestModelToForm(Step &S) {
   GroupCounts Now = S.ownGroups();
   GroupCounts BestCounts = Now;
-  double Most = 0;
+  double BestGain = 0;
   const ModelSpec *Best = nullptr;
   for (const ModelSpec *Model : modelsLargestFirst(S.Engine)) {
     std::vector<TargetRef> Free = this->freeVmsFor(S, *Model);
@@ -80,9 +80,10 @@
                   !S.loadsBeforeForming());
     double Gain = S.gainOf(*Model, Now);
     bool Converts = countOwn(Free, *Model) < Model->GroupSize;
-    if (!Forms || Gain <= Most || (Converts && Gain < MinGain * S.lossOf(Now)))
+    if (!Forms || Gain <= BestGain ||
+        (Converts && Gain < MinGain * S.lossOf(Now)))
       continue;
-    Most = Gain;
+    BestGain = Gain;
     Best = Model;
     BestCounts = Now;
     ++BestCounts[Model->Name];
@@ -93,7 +94,7 @@
   return Best;
 }
 
-/// Free VMs but for those that are to load another model.
+/// Free VMs that are not reserved for another model.
 std::vector<TargetRef> DomainPlanner::freeVmsFor(const Step &S,
                                                  const ModelSpec &Model) const {
   std::vector<TargetRef> Free = S.freeVms();
@@ -103,18 +104,18 @@
   return Free;
 }
 
-/// Names a new group, above each epoch that was used or seen.
+/// Key of a new group, with an epoch above all used or seen ones.
 GroupKey DomainPlanner::nextGroupKey(const Step &S, const ModelSpec &Model) {
   std::uint64_t Seen = S.View.EpochFloor;
-  for (const TargetRef &Row : S.View.Targets)
-    if (Row->Group)
-      Seen = std::max(Seen, Row->Group->Group.Epoch);
+  for (const TargetRef &Vm : S.View.Targets)
+    if (Vm->Group)
+      Seen = std::max(Seen, Vm->Group->Group.Epoch);
   this->LastEpoch = std::max(this->LastEpoch, Seen) + 1;
   return {groupName(Model.Name, S.View.Domain, this->LastEpoch),
           this->LastEpoch};
 }
 
-/// Forms a group of \p Model of VMs that are free; false where it cannot.
+/// Forms a group of \p Model from free VMs; false if there are not enough.
 bool DomainPlanner::formGroup(Step &S, const ModelSpec &Model) {
   std::vector<TargetRef> Free = this->freeVmsFor(S, Model);
   std::size_t Warm = countWarm(Free, Model);
@@ -133,18 +134,20 @@
   return true;
 }
 
-/// Orders \p Members into a new group, of which \p Cold load from the store.
+/// Orders \p Members to join a new group; \p Cold of them load from the shared
+/// store.
 void DomainPlanner::orderJoins(Step &S, const ModelSpec &Model,
                                const std::vector<TargetRef> &Members,
                                unsigned Cold) {
   GroupKey Key = this->nextGroupKey(S, Model);
-  FormingGroup Row{Model.Name,
-                   {},
-                   S.View.Now,
-                   formTimeout(Cold ? Model.LoadTime : Model.StagedLoadTime)};
+  FormingGroup Forming{
+      Model.Name,
+      {},
+      S.View.Now,
+      formTimeout(Cold ? Model.LoadTime : Model.StagedLoadTime)};
   std::vector<VmId> Ids;
   for (const TargetRef &Vm : Members) {
-    Row.Members.push_back(Vm->life());
+    Forming.Members.push_back(Vm->life());
     Ids.push_back(Vm->Id);
   }
   for (const TargetRef &Vm : Members) {
@@ -152,46 +155,48 @@
     S.Orders.push_back({OrderKind::Join, Vm, Key, Model.Name, Ids,
                         Cold ? "form, with loads" : "form"});
   }
-  this->Pending.emplace(Key, std::move(Row));
+  this->FormingGroups.emplace(Key, std::move(Forming));
 }
 
-/// Closes a group of a smaller model whose VMs make, with warm ones that are
-/// free, a group of \p Model without loading weights, if callers lose less then
-/// than with the groups \p Else, by far. True where one is closed, or still
+/// Closes a group of a smaller model if its VMs and free warm ones form a group
+/// of \p Model without loading weights, and the loss is then lower by MinGain
+/// than with the groups \p Alternative. True if a group was closed or is still
 /// closing.
 bool DomainPlanner::preemptSmaller(Step &S, const ModelSpec &Model,
-                                   const GroupCounts &Else) {
+                                   const GroupCounts &Alternative) {
   std::size_t Warm = countWarm(this->freeVmsFor(S, Model), Model);
   if (Warm >= Model.GroupSize)
     return false;
   const std::pair<const GroupKey, AnnouncedGroup> *Best = nullptr;
   for (const auto &Entry : S.Groups) {
-    const auto &[Key, Row] = Entry;
+    const auto &[Key, Group] = Entry;
     const ModelSpec *Other = S.Engine.model(modelOf(Key.Name));
-    if (!Row.Head || !Other || Other->GroupSize >= Model.GroupSize ||
+    if (!Group.Head || !Other || Other->GroupSize >= Model.GroupSize ||
         this->LeftGroups.contains(Key))
       continue;
-    auto Helps = static_cast<std::size_t>(
-        std::count_if(Row.Ranks.begin(), Row.Ranks.end(), [&](const auto &R) {
-          return S.isUsable(*R.second) && R.second->hasStaged(Model.Name);
+    auto Helps = static_cast<std::size_t>(std::count_if(
+        Group.Ranks.begin(), Group.Ranks.end(), [&](const auto &Member) {
+          return S.isUsable(*Member.second) &&
+                 Member.second->hasStaged(Model.Name);
         }));
     if (Warm + Helps < Model.GroupSize)
       continue;
-    MemberState State = Row.Head->Group->State;
+    MemberState State = Group.Head->Group->State;
     if (State == MemberState::Closing && this->AbandonedGroups.contains(Key))
       return true;
     GroupCounts After = S.ownGroups();
     ++After[Model.Name];
     --After[Other->Name];
     if (State == MemberState::Open && !Best &&
-        S.lossAfterTrades(After) < (1 - MinGain) * S.lossAfterTrades(Else))
+        S.lossAfterTrades(After) <
+            (1 - MinGain) * S.lossAfterTrades(Alternative))
       Best = &Entry;
   }
   if (!Best)
     return false;
-  const auto &[Key, Row] = *Best;
+  const auto &[Key, Group] = *Best;
   this->AbandonedGroups.insert(Key);
-  this->addOrder(S, OrderKind::Close, Row.Head, Key,
+  this->addOrder(S, OrderKind::Close, Group.Head, Key,
                  "its VMs are needed for " + Model.Name);
   return true;
 }
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -165,7 +165,8 @@
   void orderJoins(Step &S, const ModelSpec &Model,
                   const std::vector<TargetRef> &Members, unsigned Cold);
   const ModelSpec *bestModelToForm(Step &S);
-  bool preemptSmaller(Step &S, const ModelSpec &Model, const GroupCounts &Else);
+  bool preemptSmaller(Step &S, const ModelSpec &Model,
+                      const GroupCounts &Alternative);
   void convertGroups(Step &S);
   bool mayConvert(const Step &S) const;
   void expireReservations(const Step &S);
@@ -202,16 +203,16 @@
   donorsFor(const Step &S, const ModelSpec &Large, std::size_t Free);
   unsigned unseenLoads(const Step &S) const;
   int runningLoads(const Step &S) const;
-  bool tryStartLoad(Step &S, int AtOnce);
+  bool tryStartLoad(Step &S, int MaxConcurrent);
   void stageModel(Step &S, const TargetRef &Vm, const ModelSpec &Model,
-                  int AtOnce);
+                  int MaxConcurrent);
   /// Adds an order unless the same one was sent a short time ago.
   void addOrder(Step &S, OrderKind Kind, const TargetRef &To,
                 const GroupKey &Group, const std::string &Reason,
                 const std::string &Model = std::string());
   bool isSettled(const DomainView &View);
 
-  std::map<GroupKey, FormingGroup> Pending;
+  std::map<GroupKey, FormingGroup> FormingGroups;
   /// Groups whose head has left.
   std::set<GroupKey> LeftGroups;
   /// Members of groups without a head that have left.
--- a/src/policy/domain_review.cpp
+++ b/src/policy/domain_review.cpp
@@ -33,7 +33,7 @@
     return this->reviewForming(S, Key, Group);
   // While the head serves, no member may be reused.
   S.markBusy(Group);
-  this->Pending.erase(Key);
+  this->FormingGroups.erase(Key);
   if (Complete &&
       (!Group.AnyDraining || this->servesWhileDraining(S, Key, Group))) {
     ++S.OwnCounts[Model->Name];
@@ -83,7 +83,7 @@
 /// Reviews a group whose head is not listed or is presumed dead.
 void DomainPlanner::reviewHeadless(Step &S, const GroupKey &Key,
                                    const AnnouncedGroup &Group) {
-  if (this->Pending.contains(Key))
+  if (this->FormingGroups.contains(Key))
     return this->reviewForming(S, Key, Group);
   auto Head = std::find_if(S.View.Removed.begin(), S.View.Removed.end(),
                            [&](const RemovedTarget &Removed) {
@@ -122,7 +122,7 @@
   if (!Model || Group.AnyDraining)
     return this->release(S, Key, Group, "a member is draining");
   bool Complete = Group.Ranks.size() == Model->GroupSize;
-  auto Own = this->Pending.find(Key);
+  auto Own = this->FormingGroups.find(Key);
   if (Complete && Group.AllReady && Key.Epoch <= S.View.PriorEpochMax)
     return this->release(S, Key, Group, "formed by an earlier owner");
   if (Complete && Group.AllReady) {
@@ -133,18 +133,18 @@
     return;
   }
   TimePoint Now = S.View.Now;
-  if (Own == this->Pending.end()) {
+  if (Own == this->FormingGroups.end()) {
     // Ordered by an earlier owner and still loading: adopt it.
     FormingGroup Adopted{Model->Name, {}, Now, formTimeout(Model->LoadTime)};
     for (const auto &[Rank, Vm] : Group.Ranks)
       Adopted.Members.push_back(Vm->life());
     if (!Complete)
       Adopted.Timeout = OrderVisibilityTimeout;
-    Own = this->Pending.emplace(Key, std::move(Adopted)).first;
+    Own = this->FormingGroups.emplace(Key, std::move(Adopted)).first;
   }
   bool Shown = Complete || Now - Own->second.Since < OrderVisibilityTimeout;
   if (!Shown || Now - Own->second.Since > Own->second.Timeout) {
-    this->Pending.erase(Own);
+    this->FormingGroups.erase(Own);
     this->AbandonedGroups.insert(Key);
     return this->release(S, Key, Group, "it did not form in time");
   }
@@ -167,7 +167,7 @@
 /// Marks the members of forming groups busy, also those that do not announce
 /// the group yet. Drops groups that lost a member or are not announced in time.
 void DomainPlanner::dropStaleForming(Step &S) {
-  std::erase_if(this->Pending, [&](const auto &Entry) {
+  std::erase_if(this->FormingGroups, [&](const auto &Entry) {
     const auto &[Key, Forming] = Entry;
     auto Listed = [&](const VmLife &Life) {
       return std::any_of(S.View.Targets.begin(), S.View.Targets.end(),
--- a/src/policy/domain_stage.cpp
+++ b/src/policy/domain_stage.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Staging weights on hosts: what a group lacks before it forms, and ahead of
-// need, so that repairs do not wait for the shared store.
+// Staging of weights on hosts: those that a group lacks before it forms, and
+// spares, so that repairs do not wait for the shared store.
 
 #include "policy/domain_step.h"
 
@@ -14,31 +14,28 @@
 
 namespace {
 
-/// Staging is given again where it did not show after this.
-constexpr int StageTimeFactor = 3;
-/// Hosts of one domain that are staged beside their work at the same time: what
-/// they load does not show in the registry, so turns do not count it.
-constexpr int StagingsAtOnce = 1;
-/// Turns alone bound the loads of VMs that rest. One at a time in each domain
-/// was slower than two new VMs came in three seconds: eight of 162 rested
-/// empty.
-constexpr int MissingLoadsAtOnce = std::numeric_limits<int>::max();
-/// Groups of smaller models whose hosts hold the largest model besides, in a
-/// domain with at least so many free VMs, and in one without. Tried: two
-/// everywhere left the smaller model short where domains have free VMs, one
-/// everywhere the larger one where they have none.
-constexpr std::size_t FewReserves = 2;
+/// Staging is ordered again if it has not shown after this many load times.
+constexpr int StagingRetryFactor = 3;
+/// Maximum concurrent stagings per domain on hosts of serving VMs. The registry
+/// does not show these loads, so scheduleLoads() cannot count them.
+constexpr int MaxConcurrentStagings = 1;
+/// Loads of idle VMs are limited by scheduleLoads() alone.
+constexpr int NoConcurrencyLimit = std::numeric_limits<int>::max();
+/// Number of groups of smaller models (donors) whose hosts also stage the
+/// largest model: DonorsBesideReserves in a domain with at least MinReserves
+/// free VMs, else DonorsAlone.
+constexpr std::size_t MinReserves = 2;
 constexpr std::size_t DonorsBesideReserves = 1;
 constexpr std::size_t DonorsAlone = 2;
 
 } // namespace
 
-/// The groups of smaller models whose hosts are to hold \p Large besides,
-/// where \p Free VMs are free.
+/// The groups of smaller models whose hosts also stage \p Large, given \p Free
+/// free VMs.
 std::vector<const DomainPlanner::AnnouncedGroup *>
 DomainPlanner::donorsFor(const Step &S, const ModelSpec &Large,
                          std::size_t Free) {
-  std::size_t Wanted = Free >= FewReserves ? DonorsBesideReserves : DonorsAlone;
+  std::size_t Wanted = Free >= MinReserves ? DonorsBesideReserves : DonorsAlone;
   std::vector<const AnnouncedGroup *> Donors;
   for (const auto &[Key, Group] : S.Groups) {
     const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
@@ -49,37 +46,38 @@
   return Donors;
 }
 
-/// The VMs that load weights in a group of their own, as far as they are
-/// listed.
+/// The usable listed VMs that load weights in a load group.
 std::vector<TargetRef> DomainPlanner::loadingVms(const Step &S) const {
-  std::vector<TargetRef> Rows;
-  for (const auto &[Key, Row] : this->WarmUps) {
-    auto At = std::find_if(
-        S.View.Targets.begin(), S.View.Targets.end(),
-        [&, Life = Row.Vm](const TargetRef &Vm) { return Vm->life() == Life; });
+  std::vector<TargetRef> Loading;
+  for (const auto &[Key, Load] : this->WarmUps) {
+    auto At = std::find_if(S.View.Targets.begin(), S.View.Targets.end(),
+                           [&, Life = Load.Vm](const TargetRef &Vm) {
+                             return Vm->life() == Life;
+                           });
     if (At != S.View.Targets.end() && S.isUsable(**At))
-      Rows.push_back(*At);
+      Loading.push_back(*At);
   }
-  return Rows;
+  return Loading;
 }
 
-/// How far \p Vm is from a group of \p Model: 0 where it has the weights or
-/// loads them, 1 with none, 2 with others; nothing where it loads others.
+/// Rank of \p Vm as a member of a group of \p Model: 0 if it has or loads the
+/// weights, 1 if it has no weights, 2 if it has others. Nothing if it loads or
+/// is reserved for another model.
 std::optional<int> DomainPlanner::loadRankOf(const TargetInfo &Vm,
                                              const ModelSpec &Model) const {
   if (this->isReservedForOther(Vm, Model))
     return std::nullopt;
-  for (const auto &[Key, Row] : this->WarmUps)
-    if (Row.Vm == Vm.life())
+  for (const auto &[Key, Load] : this->WarmUps)
+    if (Load.Vm == Vm.life())
       return modelOf(Key.Name) == Model.Name ? std::optional(0) : std::nullopt;
   if (Vm.hasStaged(Model.Name) || Vm.hasLoaded(Model.Name))
     return 0;
   return Vm.Staged.empty() && Vm.Loaded.empty() ? 1 : 2;
 }
 
-/// The group of \p Vms to load weights for next: of which callers win most for
-/// the time that its loads take together. Its VMs with the weights come first,
-/// then those without any. Empty members where none fits.
+/// Returns the group of \p Vms with the largest gain per load time. VMs that
+/// have the weights come first, then those without any. No members if no group
+/// is possible.
 DomainPlanner::LoadPlan
 DomainPlanner::bestLoadPlan(const Step &S, const GroupCounts &Now,
                             const std::vector<TargetRef> &Vms) const {
@@ -87,9 +85,9 @@
   double BestRate = 0;
   for (const ModelSpec *Model : modelsLargestFirst(S.Engine)) {
     std::vector<std::pair<int, TargetRef>> Ranked;
-    for (const TargetRef &Row : Vms)
-      if (std::optional<int> Rank = this->loadRankOf(*Row, *Model))
-        Ranked.emplace_back(*Rank, Row);
+    for (const TargetRef &Vm : Vms)
+      if (std::optional<int> Rank = this->loadRankOf(*Vm, *Model))
+        Ranked.emplace_back(*Rank, Vm);
     if (Ranked.size() < Model->GroupSize)
       continue;
     std::stable_sort(Ranked.begin(), Ranked.end(),
@@ -108,15 +106,15 @@
       continue;
     BestRate = Rate;
     Best = {Model, {}};
-    for (const auto &[Rank, Row] : Ranked)
-      Best.Members.push_back(Row);
+    for (const auto &[Rank, Vm] : Ranked)
+      Best.Members.push_back(Vm);
   }
   return Best;
 }
 
-/// Loads what groups lack onto hosts that rest: where a domain came back from
-/// an outage, got new VMs or lost some, enough of them may be free for a group,
-/// with the weights of another model or none.
+/// Loads missing weights onto hosts of free VMs. After an outage or an exchange
+/// of VMs, a domain may have enough free VMs for a group, but with the weights
+/// of another model or none.
 void DomainPlanner::stageMissing(Step &S) {
   if (S.Engine.ModelsStagedPerHost == 0)
     return;
@@ -129,19 +127,20 @@
     if (!Plan.Model)
       return;
     ++Groups[Plan.Model->Name];
-    for (const TargetRef &Row : Plan.Members) {
-      std::erase(Vms, Row);
-      bool Comes =
-          std::find(Loading.begin(), Loading.end(), Row) != Loading.end();
-      if (!Comes && !Row->hasLoaded(Plan.Model->Name))
-        this->stageModel(S, Row, *Plan.Model, MissingLoadsAtOnce);
+    for (const TargetRef &Vm : Plan.Members) {
+      std::erase(Vms, Vm);
+      bool IsLoading =
+          std::find(Loading.begin(), Loading.end(), Vm) != Loading.end();
+      if (!IsLoading && !Vm->hasLoaded(Plan.Model->Name))
+        this->stageModel(S, Vm, *Plan.Model, NoConcurrencyLimit);
     }
   }
 }
 
-/// Stages models on hosts ahead of need. The hosts of some groups of smaller
-/// models hold the largest besides: its repair takes them. Free VMs are the
-/// reserve of the smaller models then, and else of the largest.
+/// Stages spare weights. The hosts of donor groups also get the largest model,
+/// so that its repairs can use them. Free VMs become reserves of the smallest
+/// and the largest model in equal numbers; ties go to the smallest if there are
+/// donors, else to the largest.
 void DomainPlanner::stageSpares(Step &S) {
   std::vector<const ModelSpec *> Models = modelsLargestFirst(S.Engine);
   if (S.Engine.ModelsStagedPerHost == 0 || Models.empty())
@@ -151,13 +150,13 @@
   const ModelSpec &Small = *Models.back();
   std::vector<const AnnouncedGroup *> Donors = donorsFor(S, Large, Free.size());
   std::map<std::string, int> Reserves;
-  for (const TargetRef &Row : Free)
+  for (const TargetRef &Vm : Free)
     for (const ModelSpec *Model : Models)
-      Reserves[Model->Name] += Row->hasStaged(Model->Name) ? 1 : 0;
-  for (const TargetRef &Row : Free) {
+      Reserves[Model->Name] += Vm->hasStaged(Model->Name) ? 1 : 0;
+  for (const TargetRef &Vm : Free) {
     bool Any =
         std::any_of(Models.begin(), Models.end(), [&](const ModelSpec *Model) {
-          return Row->hasStaged(Model->Name);
+          return Vm->hasStaged(Model->Name);
         });
     if (Any)
       continue;
@@ -166,15 +165,15 @@
                         : Reserves[Small.Name] < Reserves[Large.Name];
     const ModelSpec &Next = ForSmall ? Small : Large;
     ++Reserves[Next.Name];
-    this->stageModel(S, Row, Next, MissingLoadsAtOnce);
+    this->stageModel(S, Vm, Next, NoConcurrencyLimit);
   }
   for (const AnnouncedGroup *Donor : Donors)
     for (const auto &[Rank, Vm] : Donor->Ranks)
-      this->stageModel(S, Vm, Large, StagingsAtOnce);
+      this->stageModel(S, Vm, Large, MaxConcurrentStagings);
 }
 
-/// Loads from the shared store that were ordered and that the registry may not
-/// show yet, so that scheduleLoads() counts them once more.
+/// Ordered loads from the shared store that the registry may not show yet, and
+/// that scheduleLoads() therefore does not count.
 unsigned DomainPlanner::unseenLoads(const Step &S) const {
   auto Unseen = [&](TimePoint Since) {
     return Since != TimePoint() && S.View.Now - Since < OrderVisibilityTimeout;
@@ -190,7 +189,7 @@
   return static_cast<unsigned>(Alone + Staged);
 }
 
-/// Loads of this domain that run, for all that was ordered.
+/// Estimated number of running loads in this domain.
 int DomainPlanner::runningLoads(const Step &S) const {
   auto Runs = [&](const std::string &Name, TimePoint Since) {
     const ModelSpec *Model = S.Engine.model(Name);
@@ -210,31 +209,32 @@
   return static_cast<int>(Staged + Alone);
 }
 
-/// Whether a load may begin, and counts it: in its turn, and so that \p AtOnce
-/// run in the domain.
-bool DomainPlanner::tryStartLoad(Step &S, int AtOnce) {
+/// Consumes one of the remaining loads; false if there is none, or if the
+/// domain already runs \p MaxConcurrent loads.
+bool DomainPlanner::tryStartLoad(Step &S, int MaxConcurrent) {
   if (S.View.LoadsAllowed >= UnlimitedLoads)
     return true;
-  if (S.RemainingLoads == 0 || this->runningLoads(S) >= AtOnce)
+  if (S.RemainingLoads == 0 || this->runningLoads(S) >= MaxConcurrent)
     return false;
   --S.RemainingLoads;
   return true;
 }
 
-/// Has the host load the weights unless that is done, under way, or may not
-/// begin yet. A VM that is in no group joins one of its own for that, which
-/// shows all owners that it loads; the host of a member is staged beside it.
+/// Loads \p Model onto the host of \p Vm unless that is done, under way or not
+/// allowed yet. A VM without a group joins a load group, which makes the load
+/// visible to all owners; the host of a member is staged while the VM serves.
 void DomainPlanner::stageModel(Step &S, const TargetRef &Vm,
-                               const ModelSpec &Model, int AtOnce) {
+                               const ModelSpec &Model, int MaxConcurrent) {
   if (!S.isUsable(*Vm) || Vm->hasStaged(Model.Name))
     return;
   TimePoint &At = this->StagingOrderedAt[{Vm->life(), Model.Name}];
-  if (At != TimePoint() && S.View.Now - At < Model.LoadTime * StageTimeFactor)
+  if (At != TimePoint() &&
+      S.View.Now - At < Model.LoadTime * StagingRetryFactor)
     return;
-  if (!this->tryStartLoad(S, AtOnce))
+  if (!this->tryStartLoad(S, MaxConcurrent))
     return;
   if (!Vm->Group) {
-    this->joinLoadGroup(S, Vm, Model, "it loads its weights");
+    this->joinLoadGroup(S, Vm, Model, "loading missing weights");
     return;
   }
   At = S.View.Now;
@@ -242,7 +242,7 @@
   Order.Kind = OrderKind::Stage;
   Order.To = Vm;
   Order.Model = Model.Name;
-  Order.Reason = "a reserve for repairs";
+  Order.Reason = "staging a reserve for repairs";
   S.Orders.push_back(std::move(Order));
 }
 
--- a/src/policy/domain_warm.cpp
+++ b/src/policy/domain_warm.cpp
@@ -2,10 +2,10 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Keeping reserves loaded. A VM whose last group ran a model joins another one
-// of that model in 0.2 s; one whose host merely has the weights takes a second
-// or two. So a reserve joins a group of its own once, which is never opened,
-// and leaves it when its weights are loaded.
+// Keeps reserves loaded. A VM that has a model loaded joins a group of it much
+// faster than one whose host merely has the weights staged. A reserve therefore
+// joins a load group once, which is never opened, and leaves it when the
+// weights are loaded.
 
 #include "policy/domain_step.h"
 #include "policy/load_schedule.h"
@@ -16,35 +16,34 @@
 
 namespace {
 
-/// The VMs of a domain that comes back are listed one after the other within
-/// half a second: those that make a group are not to be kept from it, for 2 s,
-/// by loading each on its own.
+/// A VM has to be free for this time before it loads alone: the VMs of a
+/// returning domain are listed one after the other and may form a group first.
 constexpr Millis ReserveWait{700};
 
 } // namespace
 
-/// Orders reserves that never ran a model to load the one that their hosts have
-/// staged. Each is tried once.
+/// Orders free VMs without a loaded model to load one that their hosts have
+/// staged. Tried once per VM.
 void DomainPlanner::warmUpReserves(Step &S) {
   std::map<VmLife, TimePoint> Since;
-  for (const TargetRef &Row : S.freeVms()) {
-    auto Before = this->FreeSince.find(Row->life());
-    Since[Row->life()] =
-        Before == this->FreeSince.end() ? S.View.Now : Before->second;
-    if (!Row->Loaded.empty() || Row->Group ||
-        S.View.Now - Since[Row->life()] < ReserveWait)
+  for (const TargetRef &Vm : S.freeVms()) {
+    auto Known = this->FreeSince.find(Vm->life());
+    Since[Vm->life()] =
+        Known == this->FreeSince.end() ? S.View.Now : Known->second;
+    if (!Vm->Loaded.empty() || Vm->Group ||
+        S.View.Now - Since[Vm->life()] < ReserveWait)
       continue;
     auto Model = std::find_if(
         S.Engine.Models.begin(), S.Engine.Models.end(),
-        [&](const ModelSpec &Each) { return Row->hasStaged(Each.Name); });
+        [&](const ModelSpec &Each) { return Vm->hasStaged(Each.Name); });
     if (Model != S.Engine.Models.end() &&
-        this->WarmUpTried.insert(Row->life()).second)
-      this->joinLoadGroup(S, Row, *Model, "a reserve is kept loaded");
+        this->WarmUpTried.insert(Vm->life()).second)
+      this->joinLoadGroup(S, Vm, *Model, "warming up a reserve");
   }
   this->FreeSince = std::move(Since);
 }
 
-/// Orders \p Vm to join a group of its own.
+/// Orders \p Vm to join a load group of its own.
 void DomainPlanner::joinLoadGroup(Step &S, const TargetRef &Vm,
                                   const ModelSpec &Model,
                                   const std::string &Reason) {
@@ -56,39 +55,40 @@
   S.Orders.push_back({OrderKind::Join, Vm, Key, Model.Name, {Vm->Id}, Reason});
 }
 
-/// Whether \p Key is such a group, of this owner or an earlier one; it is left
-/// as soon as its VM is ready, or where that takes too long.
+/// Handles \p Key if it is a load group, of this owner or an earlier one:
+/// releases it once the VM is ready or after a timeout. False for other groups.
 bool DomainPlanner::reviewWarmUp(Step &S, const GroupKey &Key,
-                                 const AnnouncedGroup &Row) {
-  if (!isLoadGroup(Key.Name) || !Row.Head)
+                                 const AnnouncedGroup &Group) {
+  if (!isLoadGroup(Key.Name) || !Group.Head)
     return false;
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
-  WarmUp &Entry = this->WarmUps
-                      .try_emplace(Key, WarmUp{Row.Head->life(), S.View.Now,
-                                               isLoading(*Row.Head)})
-                      .first->second;
-  Millis Timeout = !Model       ? Millis(0)
-                   : Entry.Cold ? formTimeout(Model->LoadTime)
-                                : formTimeout(Model->StagedLoadTime);
-  bool Late = S.View.Now - Entry.Since > Timeout;
-  if (Row.AllReady || Late)
-    this->release(S, Key, Row, Row.AllReady ? "it is loaded" : "it loads late");
+  WarmUp &Load = this->WarmUps
+                     .try_emplace(Key, WarmUp{Group.Head->life(), S.View.Now,
+                                              isLoading(*Group.Head)})
+                     .first->second;
+  Millis Timeout = !Model      ? Millis(0)
+                   : Load.Cold ? formTimeout(Model->LoadTime)
+                               : formTimeout(Model->StagedLoadTime);
+  bool Late = S.View.Now - Load.Since > Timeout;
+  if (Group.AllReady || Late)
+    this->release(S, Key, Group,
+                  Group.AllReady ? "weights are loaded" : "loading timed out");
   else
-    S.markBusy(Row);
+    S.markBusy(Group);
   return true;
 }
 
-/// VMs that were ordered into such a group and do not show it yet are not free;
-/// an order that is lost is forgotten.
+/// Marks VMs busy that were ordered into a load group and do not announce it
+/// yet, and drops orders that do not show in time.
 void DomainPlanner::trackWarmUps(Step &S) {
   std::erase_if(this->WarmUps, [&](const auto &Entry) {
-    const auto &[Key, Row] = Entry;
+    const auto &[Key, Load] = Entry;
     if (S.Groups.contains(Key))
       return false;
     bool Awaited = !this->LeftGroups.contains(Key) &&
-                   S.View.Now - Row.Since < OrderVisibilityTimeout;
+                   S.View.Now - Load.Since < OrderVisibilityTimeout;
     if (Awaited)
-      S.Busy.insert(Row.Vm);
+      S.Busy.insert(Load.Vm);
     return !Awaited;
   });
 }
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -10,46 +10,49 @@
 
 namespace {
 
-/// Parts a group's name: "MODEL,DOMAIN,EPOCH". Models and domains hold none.
+/// Separator in group names, "MODEL,DOMAIN,EPOCH". Names of models and domains
+/// do not contain it.
 constexpr char NameSeparator = ',';
-/// At the end of the name of a group that only loads weights.
+/// Suffix of the names of load groups.
 constexpr std::string_view LoadSuffix = ",load";
 
-bool contains(const std::vector<std::string> &Rows, const std::string &Name) {
-  return std::find(Rows.begin(), Rows.end(), Name) != Rows.end();
+bool contains(const std::vector<std::string> &Names, const std::string &Name) {
+  return std::find(Names.begin(), Names.end(), Name) != Names.end();
 }
 
 /// The announced ranks of each group.
 using RanksByGroup = std::map<GroupKey, std::set<unsigned>>;
 
-void addRank(const TargetInfo &Row, RanksByGroup &Ranks) {
-  if (Row.Group && Row.Group->State != MemberState::Joining &&
-      Row.Group->State != MemberState::Broken)
-    Ranks[Row.Group->Group].insert(Row.Group->Rank);
+/// Adds the target's rank, unless it is still joining or broken.
+void addRank(const TargetInfo &Target, RanksByGroup &Ranks) {
+  if (Target.Group && Target.Group->State != MemberState::Joining &&
+      Target.Group->State != MemberState::Broken)
+    Ranks[Target.Group->Group].insert(Target.Group->Rank);
 }
 
-/// A member whose entry went may be cut off from the registry alone, and the
-/// group whole. Where it is dead, the head stands still, which requests and
-/// the group's owner notice.
-RanksByGroup announcedRanks(const Fleet &Targets) {
+/// Ranks announced in each group, including those of removed targets: a removed
+/// member may only be cut off from the registry, and the group be complete. If
+/// the member is dead, the head stalls, which requests and the group's owner
+/// detect.
+RanksByGroup announcedRanks(const Fleet &Current) {
   RanksByGroup Ranks;
-  for (const auto &[Id, Row] : Targets.Targets)
-    addRank(*Row, Ranks);
-  for (const auto &[Id, Row] : Targets.Removed)
-    addRank(*Row.Last, Ranks);
+  for (const auto &[Id, Target] : Current.Targets)
+    addRank(*Target, Ranks);
+  for (const auto &[Id, Removed] : Current.Removed)
+    addRank(*Removed.Last, Ranks);
   return Ranks;
 }
 
-bool isServingHead(const TargetInfo &Row, const EngineSpec &Engine,
+bool isServingHead(const TargetInfo &Target, const EngineSpec &Engine,
                    const RanksByGroup &Ranks) {
-  if (!Row.Group || Row.Group->Rank != 0 ||
-      Row.Group->State != MemberState::Open)
+  if (!Target.Group || Target.Group->Rank != 0 ||
+      Target.Group->State != MemberState::Open)
     return false;
-  const ModelSpec *Model = Engine.model(modelOf(Row.Group->Group.Name));
+  const ModelSpec *Model = Engine.model(modelOf(Target.Group->Group.Name));
   if (!Model)
     return false;
-  auto At = Ranks.find(Row.Group->Group);
-  return At != Ranks.end() && At->second.size() == Model->GroupSize;
+  auto Found = Ranks.find(Target.Group->Group);
+  return Found != Ranks.end() && Found->second.size() == Model->GroupSize;
 }
 
 } // namespace
@@ -83,21 +86,21 @@
 }
 
 ServingViewRef makeServingView(const RoutingConfig &Config,
-                               const Fleet &Targets) {
+                               const Fleet &Current) {
   auto View = std::make_shared<ServingView>();
-  View->FleetVersion = Targets.Version;
-  View->Registry = Targets.Registry;
-  RanksByGroup Ranks = announcedRanks(Targets);
-  for (const auto &[Id, Row] : Targets.Targets) {
-    const ServiceSpec *Spec = Config.service(Row->Service);
-    if (!Spec || Row->Draining)
+  View->FleetVersion = Current.Version;
+  View->Registry = Current.Registry;
+  RanksByGroup Ranks = announcedRanks(Current);
+  for (const auto &[Id, Target] : Current.Targets) {
+    const ServiceSpec *Spec = Config.service(Target->Service);
+    if (!Spec || Target->Draining)
       continue;
-    bool Retained = Targets.Retained.contains(Id);
+    bool IsRetained = Current.Retained.contains(Id);
     if (!Spec->hasGroups())
-      View->ByService[Row->Service].push_back({Row, "", Retained});
-    else if (isServingHead(*Row, *Spec->Engine, Ranks))
-      View->ByService[Row->Service].push_back(
-          {Row, modelOf(Row->Group->Group.Name), Retained});
+      View->ByService[Target->Service].push_back({Target, "", IsRetained});
+    else if (isServingHead(*Target, *Spec->Engine, Ranks))
+      View->ByService[Target->Service].push_back(
+          {Target, modelOf(Target->Group->Group.Name), IsRetained});
   }
   return View;
 }
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -120,6 +120,6 @@
 /// rank was last announced with the same name and epoch, so a member that moved
 /// to another group takes effect at once.
 ServingViewRef makeServingView(const RoutingConfig &Config,
-                               const Fleet &Targets);
+                               const Fleet &Current);
 
 } // namespace waycove
--- a/src/policy/group_load.cpp
+++ b/src/policy/group_load.cpp
@@ -12,20 +12,20 @@
 namespace {
 
 constexpr double MillisPerSecond = 1000;
-/// A model without group counts as this part of one: a loss that is finite, so
-/// that what is lost of others still counts.
+/// Number of groups assumed for a model without any, which keeps the loss
+/// finite.
 constexpr double GroupsWhenNone = 0.2;
-/// Of the load, in the loss. Seen on 48 VMs with two models: at a load of 0.58
-/// nine in ten first events kept their objective, at 0.73 and more the median
-/// missed it.
+/// Exponent of the load in the loss. High, since responses become late
+/// abruptly.
 constexpr double LossExponent = 10;
 
-/// Requests below which a node's own count says nothing.
+/// Minimum counted requests for an estimate.
 constexpr double MinRequests = 20;
-/// A node's part of the requests is no smaller than this.
+/// Lower bound of the fraction of requests that the counts cover.
 constexpr double MinRequestFraction = 1e-4;
-/// What a model that nobody asks for keeps of its expected part.
-constexpr double UnusedModelFraction = 0.03;
+/// Fraction of the total prompt tokens that is added to the models by
+/// WorkShare, so that models without requests keep some demand.
+constexpr double BaselineFraction = 0.03;
 
 bool statesSpeed(const EngineSpec &Engine) {
   return Engine.ReadTokensPerSecond > 0 && Engine.StepMillisPerRequest > 0;
@@ -59,39 +59,41 @@
                    const GroupCounts &Groups) {
   double Loss = 0;
   for (const ModelSpec &Model : Engine.Models) {
-    auto Asked = Demand.find(Model.Name);
+    auto Requested = Demand.find(Model.Name);
     auto Has = Groups.find(Model.Name);
-    if (Asked != Demand.end())
-      Loss += modelLoss(Engine, Model, Asked->second,
+    if (Requested != Demand.end())
+      Loss += modelLoss(Engine, Model, Requested->second,
                         Has == Groups.end() ? 0 : Has->second);
   }
   return Loss;
 }
 
 DemandTable demandRates(const EngineSpec &Engine, const DemandTable &Counted,
-                        double Part) {
-  ModelDemand All;
-  for (const auto &[Model, Row] : Counted) {
-    All.Requests += Row.Requests;
-    All.PromptTokens += Row.PromptTokens;
-    All.OutputTokens += Row.OutputTokens;
+                        double RequestFraction) {
+  ModelDemand Total;
+  for (const auto &[Model, Demand] : Counted) {
+    Total.Requests += Demand.Requests;
+    Total.PromptTokens += Demand.PromptTokens;
+    Total.OutputTokens += Demand.OutputTokens;
   }
-  if (All.Requests < MinRequests)
+  if (Total.Requests < MinRequests)
     return expectedDemand(Engine);
-  double Longer = Engine.UsualAnswer > 0 && All.OutputTokens > 0
-                      ? Engine.UsualAnswer * All.Requests / All.OutputTokens
-                      : 1;
-  // A sum that keeps a part each second holds this many seconds.
-  double Seconds = 1 / (1 - DemandDecay);
-  double Scale = 1 / (Seconds * std::max(Part, MinRequestFraction));
+  double OutputScale =
+      Engine.UsualAnswer > 0 && Total.OutputTokens > 0
+          ? Engine.UsualAnswer * Total.Requests / Total.OutputTokens
+          : 1;
+  // Effective window of a sum that decays by DemandDecay each second.
+  double WindowSeconds = 1 / (1 - DemandDecay);
+  double Scale =
+      1 / (WindowSeconds * std::max(RequestFraction, MinRequestFraction));
   DemandTable Rates;
   for (const ModelSpec &Model : Engine.Models) {
     auto At = Counted.find(Model.Name);
-    ModelDemand Row = At == Counted.end() ? ModelDemand{} : At->second;
-    Row.OutputTokens *= Longer;
-    Row.PromptTokens +=
-        UnusedModelFraction * Model.WorkShare * All.PromptTokens;
-    Rates[Model.Name] = Row.scaled(Scale);
+    ModelDemand Demand = At == Counted.end() ? ModelDemand{} : At->second;
+    Demand.OutputTokens *= OutputScale;
+    Demand.PromptTokens +=
+        BaselineFraction * Model.WorkShare * Total.PromptTokens;
+    Rates[Model.Name] = Demand.scaled(Scale);
   }
   return Rates;
 }
@@ -99,7 +101,7 @@
 DemandTable expectedDemand(const EngineSpec &Engine) {
   DemandTable Demand;
   for (const ModelSpec &Model : Engine.Models) {
-    // The stated share counts VMs; groups are compared.
+    // WorkShare refers to VMs; convert it to groups.
     double Share = Model.WorkShare / Model.GroupSize / Model.TimeFactor;
     Demand[Model.Name].PromptTokens = std::max(Share, 1e-3);
   }
--- a/src/policy/load_schedule.cpp
+++ b/src/policy/load_schedule.cpp
@@ -12,85 +12,90 @@
 
 namespace {
 
-/// The VMs of a domain that are in no group, and those that load weights in one
-/// of their own.
-struct Resting {
-  /// How many have the weights of a model, by model.
+/// The VMs of a domain that are in no group or in a load group.
+struct IdleVms {
+  /// Number of VMs that have or load the weights, by model.
   std::map<std::string, std::size_t> Have;
   std::size_t Vms = 0;
-  /// Those without any weights.
+  /// VMs without any weights.
   std::size_t Empty = 0;
 };
 
-struct Survey {
-  std::map<DomainId, Resting> Domains;
-  /// Models of which a group serves.
+/// State of all VMs of the service.
+struct ServiceState {
+  std::map<DomainId, IdleVms> Domains;
+  /// Models that an open group serves.
   std::set<std::string> Served;
+  /// VMs that are loading from the shared store.
   std::size_t Loading = 0;
 };
 
-Survey surveyOf(const std::vector<TargetRef> &Rows, const EngineSpec &Engine) {
-  Survey All;
+ServiceState surveyTargets(const std::vector<TargetRef> &Targets,
+                           const EngineSpec &Engine) {
+  ServiceState State;
   std::set<GroupKey> Heads;
-  for (const TargetRef &Row : Rows)
-    if (Row->Group && Row->Group->Rank == 0)
-      Heads.insert(Row->Group->Group);
-  for (const TargetRef &Row : Rows) {
-    All.Loading += isLoading(*Row) ? 1 : 0;
-    if (Row->Group && Row->Group->Rank == 0 &&
-        Row->Group->State == MemberState::Open)
-      All.Served.insert(modelOf(Row->Group->Group.Name));
-    Resting &Into = All.Domains[Row->Domain];
-    if (Row->Draining)
+  for (const TargetRef &Target : Targets)
+    if (Target->Group && Target->Group->Rank == 0)
+      Heads.insert(Target->Group->Group);
+  for (const TargetRef &Target : Targets) {
+    State.Loading += isLoading(*Target) ? 1 : 0;
+    if (Target->Group && Target->Group->Rank == 0 &&
+        Target->Group->State == MemberState::Open)
+      State.Served.insert(modelOf(Target->Group->Group.Name));
+    IdleVms &Idle = State.Domains[Target->Domain];
+    if (Target->Draining)
       continue;
-    if (Row->Group && isLoadGroup(Row->Group->Group.Name)) {
-      ++Into.Vms;
-      ++Into.Have[modelOf(Row->Group->Group.Name)];
+    if (Target->Group && isLoadGroup(Target->Group->Group.Name)) {
+      ++Idle.Vms;
+      ++Idle.Have[modelOf(Target->Group->Group.Name)];
       continue;
     }
-    // Members of a group whose head left or died are about to be free.
-    if (Row->Group && Heads.contains(Row->Group->Group))
+    // Members of a group whose head left or died will soon be free.
+    if (Target->Group && Heads.contains(Target->Group->Group))
       continue;
-    ++Into.Vms;
-    Into.Empty += Row->Staged.empty() && Row->Loaded.empty() ? 1 : 0;
+    ++Idle.Vms;
+    Idle.Empty += Target->Staged.empty() && Target->Loaded.empty() ? 1 : 0;
     for (const ModelSpec &Model : Engine.Models)
-      if (Row->hasStaged(Model.Name) || Row->hasLoaded(Model.Name))
-        ++Into.Have[Model.Name];
+      if (Target->hasStaged(Model.Name) || Target->hasLoaded(Model.Name))
+        ++Idle.Have[Model.Name];
   }
-  return All;
+  return State;
 }
 
-/// The group that puts most VMs to work for the time that it loads.
+/// The next group that a domain needs loads for.
 struct NextGroup {
   bool Unserved = false;
   double VmsPerLoadSecond = 0;
-  /// Loads that it lacks; 0 where none can be completed by loads.
-  std::size_t Lacks = 0;
+  /// Number of missing loads; 0 if no group can be completed by loads.
+  std::size_t MissingLoads = 0;
 
+  /// Smaller ranks go first.
   auto rank() const {
     return std::tuple(!this->Unserved, -this->VmsPerLoadSecond);
   }
 };
 
-NextGroup nextGroup(const Resting &Row, const Survey &All,
+/// The group that puts the most VMs into service per load time, with models
+/// that no group serves first.
+NextGroup nextGroup(const IdleVms &Idle, const ServiceState &State,
                     const EngineSpec &Engine) {
   NextGroup Best;
   for (const ModelSpec &Model : Engine.Models) {
-    auto At = Row.Have.find(Model.Name);
-    std::size_t Has = At == Row.Have.end() ? 0 : At->second;
-    // It forms without loads; what is left then is seen afterwards.
+    auto At = Idle.Have.find(Model.Name);
+    std::size_t Has = At == Idle.Have.end() ? 0 : At->second;
+    // The group forms without loads; the other VMs are considered after that.
     if (Has >= Model.GroupSize)
       return {};
-    if (Row.Vms < Model.GroupSize)
+    if (Idle.Vms < Model.GroupSize)
       continue;
     NextGroup Next;
-    Next.Unserved = !All.Served.contains(Model.Name);
-    Next.Lacks = Model.GroupSize - Has;
+    Next.Unserved = !State.Served.contains(Model.Name);
+    Next.MissingLoads = Model.GroupSize - Has;
     Next.VmsPerLoadSecond =
         Model.GroupSize /
         (std::chrono::duration<double>(Model.LoadTime).count() *
-         static_cast<double>(Next.Lacks));
-    if (Best.Lacks == 0 || Next.rank() < Best.rank())
+         static_cast<double>(Next.MissingLoads));
+    if (Best.MissingLoads == 0 || Next.rank() < Best.rank())
       Best = Next;
   }
   return Best;
@@ -98,46 +103,46 @@
 
 } // namespace
 
-bool isLoading(const TargetInfo &Row) {
-  if (!Row.Group || Row.Group->State != MemberState::Joining)
+bool isLoading(const TargetInfo &Target) {
+  if (!Target.Group || Target.Group->State != MemberState::Joining)
     return false;
-  std::string Model = modelOf(Row.Group->Group.Name);
-  return !Row.hasStaged(Model) && !Row.hasLoaded(Model);
+  std::string Model = modelOf(Target.Group->Group.Name);
+  return !Target.hasStaged(Model) && !Target.hasLoaded(Model);
 }
 
 LoadSchedule scheduleLoads(const std::vector<TargetRef> &Targets,
                            const EngineSpec &Engine) {
-  Survey All = surveyOf(Targets, Engine);
+  ServiceState State = surveyTargets(Targets, Engine);
   std::size_t Free = Engine.LoadsAtOnce -
-                     std::min<std::size_t>(Engine.LoadsAtOnce, All.Loading);
-  LoadSchedule Turns;
-  auto Give = [&](const DomainId &Domain, std::size_t Wanted) {
-    std::size_t Given = std::min(Wanted, Free);
-    Free -= Given;
-    if (Given > 0)
-      Turns.ByDomain[Domain] += static_cast<unsigned>(Given);
+                     std::min<std::size_t>(Engine.LoadsAtOnce, State.Loading);
+  LoadSchedule Schedule;
+  auto Grant = [&](const DomainId &Domain, std::size_t Wanted) {
+    std::size_t Granted = std::min(Wanted, Free);
+    Free -= Granted;
+    if (Granted > 0)
+      Schedule.ByDomain[Domain] += static_cast<unsigned>(Granted);
   };
   std::vector<std::pair<NextGroup, DomainId>> Queue;
-  for (const auto &[Domain, Row] : All.Domains)
-    if (NextGroup Next = nextGroup(Row, All, Engine); Next.Lacks > 0)
+  for (const auto &[Domain, Idle] : State.Domains)
+    if (NextGroup Next = nextGroup(Idle, State, Engine); Next.MissingLoads > 0)
       Queue.emplace_back(Next, Domain);
   std::stable_sort(Queue.begin(), Queue.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first.rank() < Right.first.rank();
                    });
   for (const auto &[Next, Domain] : Queue)
-    Give(Domain, Next.Lacks);
-  // Hosts of groups that serve may hold another model besides. That does not
-  // show in the registry while it loads, so it has to wait until nothing else
-  // does.
-  bool Calm = Queue.empty() && All.Loading == 0;
-  for (const auto &[Domain, Row] : All.Domains) {
-    auto Given = Turns.ByDomain.find(Domain);
-    std::size_t Has = Given == Turns.ByDomain.end() ? 0 : Given->second;
-    Give(Domain, Row.Empty - std::min(Row.Empty, Has) + (Calm ? 1 : 0));
+    Grant(Domain, Next.MissingLoads);
+  // Hosts of serving groups may stage another model as well. The registry does
+  // not show such loads, so they wait until no other load is needed or running.
+  bool NoOtherLoads = Queue.empty() && State.Loading == 0;
+  for (const auto &[Domain, Idle] : State.Domains) {
+    auto Granted = Schedule.ByDomain.find(Domain);
+    std::size_t Has = Granted == Schedule.ByDomain.end() ? 0 : Granted->second;
+    Grant(Domain,
+          Idle.Empty - std::min(Idle.Empty, Has) + (NoOtherLoads ? 1 : 0));
   }
-  Turns.SpareLoads = static_cast<unsigned>(Free);
-  return Turns;
+  Schedule.SpareLoads = static_cast<unsigned>(Free);
+  return Schedule;
 }
 
 } // namespace waycove
--- a/src/policy/urgency.cpp
+++ b/src/policy/urgency.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Least time that a first byte takes on an idle target. Measured: 140 ms.
+/// Minimum time to the first byte on an idle target.
 constexpr Millis MinFirstByteTime(100);
 
 } // namespace
 
-Millis priorWait(const HttpRoute &Route, std::optional<Millis> TimeLeft) {
-  if (!TimeLeft || Route.Timeout.count() <= 0)
+Millis priorWait(const HttpRoute &Route, std::optional<Millis> Remaining) {
+  if (!Remaining || Route.Timeout.count() <= 0)
     return Millis(0);
-  return std::max(Millis(0), Route.Timeout - *TimeLeft);
+  return std::max(Millis(0), Route.Timeout - *Remaining);
 }
 
 unsigned urgencyOf(const HttpRoute &Route, const KeyOwner *Owner,
--- a/tools/without.py
+++ b/tools/without.py
@@ -91,7 +91,7 @@
         "vitals: another node left"),
     "load-queue": (
         "src/policy/load_schedule.cpp",
-        "std::min<std::size_t>(Engine.LoadsAtOnce, All.Loading)", "0",
+        "std::min<std::size_t>(Engine.LoadsAtOnce, State.Loading)", "0",
         "load turns"),
     "drain-hold": (
         "src/policy/domain_review.cpp",
@@ -309,7 +309,7 @@
         "choice of many nodes"),
     "loads-shown": (
         "src/policy/load_schedule.cpp",
-        "All.Loading += isLoading(*Row) ? 1 : 0;", "",
+        "State.Loading += isLoading(*Target) ? 1 : 0;", "",
         "load turns: loads are under way"),
     "formed-of-what-is-there": (
         "src/policy/domain_form.cpp",
