--- a/tests/failure/groups_test.cpp
+++ b/tests/failure/groups_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Promises: a partial group never answers, and no VM is in two groups.
+// Guarantees: a partial group never responds, and no VM is in two groups.
 #include "support/cluster.h"
 
 #include <algorithm>
@@ -13,22 +13,23 @@
 
 namespace waycove::test {
 
-struct GroupRow {
+/// A group as listed by a node.
+struct GroupStatus {
   std::uint64_t Fence = 0;
   std::string Domain;
   std::vector<std::string> Vms;
   bool Serves = false;
 };
 
-std::vector<GroupRow> groupsOf(Cluster &Run, const std::string &Node) {
-  std::vector<GroupRow> Found;
+std::vector<GroupStatus> groupsOf(Cluster &Run, const std::string &Node) {
+  std::vector<GroupStatus> Found;
   auto Rows = Run.status(Node)->getArray("groups");
   for (unsigned I = 0; !Rows.isNull() && I < Rows->size(); ++I) {
     JsonObject Row = Rows->getObject(I);
-    GroupRow Out{numberAt(Row, "fence"),
-                 textAt(Row, "domain"),
-                 {},
-                 flagAt(Row, "serves", false)};
+    GroupStatus Out{numberAt(Row, "fence"),
+                    textAt(Row, "domain"),
+                    {},
+                    flagAt(Row, "serves", false)};
     auto Vms = Row->getArray("vms");
     for (unsigned V = 0; V < Vms->size(); ++V)
       Out.Vms.push_back(Vms->getElement<std::string>(V));
@@ -37,18 +38,18 @@
   return Found;
 }
 
-/// No VM twice, and no group of two domains.
+/// Checks that no VM is in two groups and no group spans two domains.
 void checkGroups(Cluster &Run, const std::string &Node) {
   std::set<std::string> Seen;
-  for (const GroupRow &Row : groupsOf(Run, Node))
-    for (const std::string &Vm : Row.Vms) {
+  for (const GroupStatus &Group : groupsOf(Run, Node))
+    for (const std::string &Vm : Group.Vms) {
       INFO(Vm);
       CHECK(Seen.insert(Vm).second);
-      CHECK(Vm.rfind(Row.Domain, 0) == 0);
+      CHECK(Vm.rfind(Group.Domain, 0) == 0);
     }
 }
 
-/// Two daemons before three domains: two groups of two VMs, one spare in d1.
+/// Two daemons and three domains: two groups of two VMs, a spare VM in d1.
 struct GroupCluster {
   explicit GroupCluster(std::vector<std::string> Flags = {"--token_ms=5",
                                                           "--load_ms=50"}) {
@@ -61,26 +62,27 @@
     this->Run.addNode("n2", "a");
     this->Run.start();
     publishUsual(this->Run, "n1", "a: 2");
-    REQUIRE(eventually([&] { return this->whole(); }));
+    REQUIRE(eventually([&] { return this->allServe(); }));
   }
 
-  bool whole() {
+  bool allServe() {
     return this->Run.serving("n1") == 2 && this->Run.serving("n2") == 2;
   }
-  /// Two whole groups again, without \p Gone.
-  bool wholeWithout(const std::string &Gone) {
-    for (const GroupRow &Row : groupsOf(this->Run, "n1"))
-      for (const std::string &Vm : Row.Vms)
-        if (Vm.rfind(Gone, 0) == 0)
+  /// Whether two complete groups serve, none of them with a VM whose name
+  /// starts with \p Prefix.
+  bool allServeWithout(const std::string &Prefix) {
+    for (const GroupStatus &Group : groupsOf(this->Run, "n1"))
+      for (const std::string &Vm : Group.Vms)
+        if (Vm.rfind(Prefix, 0) == 0)
           return false;
-    return this->whole();
+    return this->allServe();
   }
-  /// The groups with \p Gone do not serve, and the others do.
-  bool servesOnlyWithout(const std::string &Gone) {
-    for (const GroupRow &Row : groupsOf(this->Run, "n1")) {
-      bool Has =
-          std::find(Row.Vms.begin(), Row.Vms.end(), Gone) != Row.Vms.end();
-      if (Row.Serves == Has)
+  /// Whether exactly the groups without \p Excluded serve.
+  bool servesOnlyWithout(const std::string &Excluded) {
+    for (const GroupStatus &Group : groupsOf(this->Run, "n1")) {
+      bool Has = std::find(Group.Vms.begin(), Group.Vms.end(), Excluded) !=
+                 Group.Vms.end();
+      if (Group.Serves == Has)
         return false;
     }
     return true;
@@ -92,8 +94,8 @@
   Cluster Run;
 };
 
-struct LaxCluster : GroupCluster {
-  LaxCluster()
+struct UncheckedFenceCluster : GroupCluster {
+  UncheckedFenceCluster()
       : GroupCluster({"--token_ms=5", "--load_ms=50", "--checks_fence=false"}) {
   }
 };
@@ -101,18 +103,18 @@
 TEST_CASE_METHOD(GroupCluster,
                  "groups: a member dies idle: not routed to, then repaired",
                  "[process]") {
-  std::string Gone = this->anyMember(1);
+  std::string Killed = this->anyMember(1);
   std::uint64_t Fence = groupsOf(this->Run, "n1")[0].Fence;
-  this->Run.killVm(Gone);
-  // Within the bound on silence neither daemon routes to the group.
+  this->Run.killVm(Killed);
+  // Within the timeout neither daemon routes to the group.
   CHECK(eventually(
       [&] {
         return this->Run.serving("n1") <= 1 && this->Run.serving("n2") <= 1;
       },
       std::chrono::milliseconds(2500)));
-  CHECK(eventually([&] { return this->wholeWithout(Gone); }));
-  for (const GroupRow &Row : groupsOf(this->Run, "n2"))
-    CHECK(Row.Fence != Fence);
+  CHECK(eventually([&] { return this->allServeWithout(Killed); }));
+  for (const GroupStatus &Group : groupsOf(this->Run, "n2"))
+    CHECK(Group.Fence != Fence);
   checkGroups(this->Run, "n1");
   CHECK(this->Run.generate("n2", 5).Status == 200);
 }
@@ -123,7 +125,7 @@
   std::string Domain = groupsOf(this->Run, "n1")[0].Domain;
   for (int I = 1; I <= (Domain == "d1" ? 3 : 2); ++I)
     this->Run.killVm(Domain + "-" + std::to_string(I));
-  CHECK(eventually([&] { return this->wholeWithout(Domain); }));
+  CHECK(eventually([&] { return this->allServeWithout(Domain); }));
   checkGroups(this->Run, "n1");
 }
 
@@ -133,7 +135,7 @@
                  "[process]") {
   std::string Frozen = this->anyMember(0);
   this->Run.vm(Frozen).signal(SIGSTOP);
-  REQUIRE(eventually([&] { return this->wholeWithout(Frozen); }));
+  REQUIRE(eventually([&] { return this->allServeWithout(Frozen); }));
   this->Run.vm(Frozen).signal(SIGCONT);
   auto Generated = [&] {
     return this->Run.atVm(Frozen, {.Path = "/counts"}).number("generates");
@@ -163,7 +165,7 @@
     CHECK(this->Run.generate("n1", 3).Status == 200);
   CHECK(eventually([&] {
     return this->Run.atVm(Vm, {.Path = "/v1/state"}).number("group") > 0 &&
-           this->whole();
+           this->allServe();
   }));
 }
 
@@ -171,17 +173,17 @@
                  "groups: a member other than the head dies in the stream: no "
                  "token of the partial group goes out",
                  "[process]") {
-  std::vector<GroupRow> Rows = groupsOf(this->Run, "n1");
+  std::vector<GroupStatus> Groups = groupsOf(this->Run, "n1");
   auto Call = std::async(std::launch::async,
                          [&] { return this->Run.generate("n1", 250, true); });
   std::string Member;
   std::string Head;
   REQUIRE(eventually([&] {
-    for (const GroupRow &Row : Rows)
-      if (this->Run.atVm(Row.Vms[0], {.Path = "/counts"}).number("running") ==
+    for (const GroupStatus &Group : Groups)
+      if (this->Run.atVm(Group.Vms[0], {.Path = "/counts"}).number("running") ==
           1) {
-        Head = Row.Vms[0];
-        Member = Row.Vms[1];
+        Head = Group.Vms[0];
+        Member = Group.Vms[1];
       }
     return !Member.empty() ||
            Call.wait_for(std::chrono::seconds(0)) == std::future_status::ready;
@@ -191,10 +193,10 @@
     FAIL("ended early: " << Early.Status << " " << Early.Body);
   }
   this->Run.killVm(Member);
-  Reply Answer = Call.get();
-  CHECK_FALSE(Answer.Cut);
-  CHECK(streamedIndexes(Answer.Body).size() == 250);
-  // Resumed, or begun again where the death came before the first token.
+  Reply Response = Call.get();
+  CHECK_FALSE(Response.Cut);
+  CHECK(streamedIndexes(Response.Body).size() == 250);
+  // Resumed, or retried if the member died before the first token.
   CHECK(this->Run.counter("n1", "resumes") +
             this->Run.counter("n1", "retries") ==
         1);
@@ -203,26 +205,26 @@
         2);
 }
 
-TEST_CASE_METHOD(LaxCluster,
+TEST_CASE_METHOD(UncheckedFenceCluster,
                  "groups: a late order to a target that does not check "
                  "fences: found out and ordered again",
                  "[process]") {
-  GroupRow Row = groupsOf(this->Run, "n1")[0];
+  GroupStatus Group = groupsOf(this->Run, "n1")[0];
   Ask Late{"POST",
            "/v1/order",
            R"({"group":1,"members":["x","y"],"model":"old"})",
            {}};
-  REQUIRE(this->Run.atVm(Row.Vms[0], Late).Status == 200);
-  // While it is wrong, no answer under the old fence reaches a caller.
+  REQUIRE(this->Run.atVm(Group.Vms[0], Late).Status == 200);
+  // Meanwhile no response under the old fence reaches a caller.
   for (int I = 0; I < 10; ++I) {
-    Reply Answer = this->Run.generate(I % 2 ? "n1" : "n2", 3);
-    if (Answer.Status == 200)
-      CHECK(Answer.text("text") == wholeText(3));
+    Reply Response = this->Run.generate(I % 2 ? "n1" : "n2", 3);
+    if (Response.Status == 200)
+      CHECK(Response.text("text") == wholeText(3));
   }
   CHECK(eventually([&] {
-    return this->Run.atVm(Row.Vms[0], {.Path = "/v1/state"}).number("group") ==
-               Row.Fence &&
-           this->whole();
+    return this->Run.atVm(Group.Vms[0], {.Path = "/v1/state"})
+                   .number("group") == Group.Fence &&
+           this->allServe();
   }));
 }
 
@@ -231,17 +233,17 @@
                  "wakes: no VM in two groups",
                  "[process]") {
   this->Run.node("n1").signal(SIGSTOP);
-  // n2 takes over n1's slots, and repairs what breaks meanwhile.
-  std::string Gone;
+  // n2 takes over n1's slots and repairs groups meanwhile.
+  std::string Killed;
   REQUIRE(eventually([&] { return this->Run.serving("n2") == 2; }));
-  Gone = groupsOf(this->Run, "n2")[0].Vms[0];
-  this->Run.killVm(Gone);
+  Killed = groupsOf(this->Run, "n2")[0].Vms[0];
+  this->Run.killVm(Killed);
   REQUIRE(eventually([&] {
-    auto Rows = groupsOf(this->Run, "n2");
-    return this->Run.serving("n2") == 2 && Rows[0].Vms[0] != Gone;
+    auto Groups = groupsOf(this->Run, "n2");
+    return this->Run.serving("n2") == 2 && Groups[0].Vms[0] != Killed;
   }));
   this->Run.node("n1").signal(SIGCONT);
-  REQUIRE(eventually([&] { return this->whole(); }));
+  REQUIRE(eventually([&] { return this->allServe(); }));
   checkGroups(this->Run, "n1");
   checkGroups(this->Run, "n2");
   CHECK(groupsOf(this->Run, "n1").size() == 2);
@@ -252,9 +254,9 @@
                  "form once",
                  "[process]") {
   this->Run.platformFault(R"({"append":"lose_ack"})");
-  std::string Gone = this->anyMember(0);
-  this->Run.killVm(Gone);
-  CHECK(eventually([&] { return this->wholeWithout(Gone); }));
+  std::string Killed = this->anyMember(0);
+  this->Run.killVm(Killed);
+  CHECK(eventually([&] { return this->allServeWithout(Killed); }));
   checkGroups(this->Run, "n1");
   CHECK(groupsOf(this->Run, "n1").size() == 2);
 }
@@ -267,14 +269,14 @@
   Reply First = this->Run.generate("n1", 5);
   INFO(First.Body);
   CHECK(First.Status == 200);
-  std::string Gone = this->anyMember(0);
-  this->Run.killVm(Gone);
-  REQUIRE(eventually([&] { return this->servesOnlyWithout(Gone); }));
-  Reply Answer = this->Run.generate("n1", 5);
-  INFO(Answer.Body);
-  CHECK(Answer.Status == 200);
+  std::string Killed = this->anyMember(0);
+  this->Run.killVm(Killed);
+  REQUIRE(eventually([&] { return this->servesOnlyWithout(Killed); }));
+  Reply Response = this->Run.generate("n1", 5);
+  INFO(Response.Body);
+  CHECK(Response.Status == 200);
   this->Run.platformFault(R"({"append":"ok","read":"ok"})");
-  CHECK(eventually([&] { return this->wholeWithout(Gone); }));
+  CHECK(eventually([&] { return this->allServeWithout(Killed); }));
   checkGroups(this->Run, "n2");
 }
 
--- a/tests/property/domain_plan_property.cpp
+++ b/tests/property/domain_plan_property.cpp
@@ -2,11 +2,11 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// The planner of groups against a small world of VMs: orders get lost, go
-// unanswered and arrive late, VMs die, are cut off and are taken for dead
-// wrongly, the registry lags, owners change. Whatever happens, no VM joins a
-// group while the head of its present one serves, and no group runs whose
-// members were not all ready under its name.
+// The group planner against a simulated domain with lost, unanswered and late
+// orders, dead and partitioned VMs, false detections of death, a lagging
+// registry and changes of ownership. No VM may join a group while the head of
+// its current one serves, and no group may run unless all members were ready in
+// it.
 #include "policy/domain_plan.h"
 
 #include <algorithm>
@@ -19,40 +19,40 @@
 namespace {
 
 constexpr Millis StepTime(100);
-constexpr int Vms = 6;
-constexpr int BreakSteps = 50;
-constexpr int ListedAfterDeath = 30;
+constexpr int VmCount = 6;
+constexpr int StepsUntilBroken = 50;
+constexpr int StepsListedAfterDeath = 30;
 
-struct WorldVm {
+struct SimulatedVm {
   VmId Id;
-  /// Rises with each start under this id.
-  std::uint64_t Life = 1;
+  /// Incremented with each restart under this id.
+  std::uint64_t Incarnation = 1;
   bool Alive = true;
   int DeadFor = 0;
-  /// Steps for which its registry entry stays away.
+  /// Steps for which its registry entry is missing.
   int Unlisted = 0;
-  /// Steps for which the registry shows it as it was last.
+  /// Steps for which its registry entry is stale.
   int Stale = 0;
   std::uint64_t EpochSeen = 0;
   std::optional<Membership> Group;
   std::vector<VmId> Members;
   int ReadyIn = 0;
-  int StandingStill = 0;
+  int StalledSteps = 0;
   std::string Loaded;
 };
 
-struct LateOrder {
+struct DelayedOrder {
   GroupOrder Order;
   int In = 0;
 };
 
-/// The VMs of one domain and what the planner sees of them.
-class World {
+/// Simulates the VMs of one domain, their registry and the delivery of orders.
+class Simulation {
 public:
-  explicit World(std::uint64_t Seed) : Random(Seed) {
-    for (int I = 0; I < Vms; ++I) {
-      this->Rows.emplace_back();
-      this->Rows.back().Id = VmId("vm-" + std::to_string(I));
+  explicit Simulation(std::uint64_t Seed) : Random(Seed) {
+    for (int I = 0; I < VmCount; ++I) {
+      this->Vms.emplace_back();
+      this->Vms.back().Id = VmId("vm-" + std::to_string(I));
     }
     this->Engine.ModelsStagedPerHost = 1;
     for (auto [Name, Size] : {std::pair{"large", 3U}, std::pair{"small", 2U}}) {
@@ -67,41 +67,41 @@
   }
 
   void run(int Steps) {
-    for (int I = 0; I < Steps && this->Broken.empty(); ++I) {
+    for (int I = 0; I < Steps && this->Violation.empty(); ++I) {
       this->Now += StepTime;
       this->disturb();
-      this->deliverLate();
+      this->deliverDelayed();
       this->advance();
-      this->remember();
+      this->recordRegistry();
       this->plan();
     }
   }
 
   std::string traceText() const {
     std::string Text;
-    for (const std::string &Row : this->Trace)
-      Text += Row;
+    for (const std::string &Line : this->Trace)
+      Text += Line;
     return Text;
   }
 
-  /// Groups that are open and whole.
+  /// Number of open groups that are not stalled.
   unsigned openNow() {
     unsigned Count = 0;
-    for (const WorldVm &Row : this->Rows)
-      Count += Row.Alive && Row.Group && Row.Group->Rank == 0 &&
-               Row.Group->State == MemberState::Open && Row.StandingStill == 0;
+    for (const SimulatedVm &Vm : this->Vms)
+      Count += Vm.Alive && Vm.Group && Vm.Group->Rank == 0 &&
+               Vm.Group->State == MemberState::Open && Vm.StalledSteps == 0;
     return Count;
   }
 
-  /// What was ordered and what came of it, newest last.
+  /// Latest orders and their results, newest last.
   std::deque<std::string> Trace;
-  /// Empty while all rules hold.
-  std::string Broken;
+  /// Description of the first violation; empty while all invariants hold.
+  std::string Violation;
   unsigned OpenedGroups = 0;
-  /// Chances in a thousand, a step.
-  int Disturbance = 20;
-  /// The same, that a VM starts again under its id.
-  int Rebirths = 0;
+  /// Probability of a disturbance per step, in thousandths.
+  int DisturbanceRate = 20;
+  /// Probability per step, in thousandths, that a VM restarts under its id.
+  int RestartRate = 0;
 
 private:
   int roll(int Below) {
@@ -109,87 +109,90 @@
   }
   bool chance(int InThousand) { return roll(1000) < InThousand; }
 
-  WorldVm *find(const VmId &Id) {
-    for (WorldVm &Row : this->Rows)
-      if (Row.Id == Id && Row.Alive)
-        return &Row;
+  SimulatedVm *find(const VmId &Id) {
+    for (SimulatedVm &Vm : this->Vms)
+      if (Vm.Id == Id && Vm.Alive)
+        return &Vm;
     return nullptr;
   }
 
-  VmLife lifeOf(const WorldVm &Row) const { return {Row.Id, WallMs(Row.Life)}; }
+  VmLife incarnationOf(const SimulatedVm &Vm) const {
+    return {Vm.Id, WallMs(Vm.Incarnation)};
+  }
 
-  /// Starts a VM again under its id, at times behind a cut from the registry;
-  /// the owner may have learned of that already.
-  void rebirth() {
-    if (this->Rebirths == 0 || !this->chance(this->Rebirths))
+  /// Restarts a VM under its id, sometimes with a stale registry entry and
+  /// sometimes already presumed dead by the owner.
+  void restartVm() {
+    if (this->RestartRate == 0 || !this->chance(this->RestartRate))
       return;
-    WorldVm &Row = this->Rows[static_cast<std::size_t>(
-        roll(static_cast<int>(this->Rows.size())))];
-    if (!Row.Alive)
+    SimulatedVm &Vm = this->Vms[static_cast<std::size_t>(
+        roll(static_cast<int>(this->Vms.size())))];
+    if (!Vm.Alive)
       return;
     if (this->chance(500))
-      this->WronglyLost.insert(this->lifeOf(Row));
-    WorldVm Fresh;
-    Fresh.Id = Row.Id;
-    Fresh.Life = Row.Life + 1;
-    Fresh.Stale = this->chance(600) ? roll(50) : 0;
-    Row = Fresh;
+      this->FalselyDead.insert(this->incarnationOf(Vm));
+    SimulatedVm Restarted;
+    Restarted.Id = Vm.Id;
+    Restarted.Incarnation = Vm.Incarnation + 1;
+    Restarted.Stale = this->chance(600) ? roll(50) : 0;
+    Vm = Restarted;
     this->Trace.push_back(
         std::to_string(this->Now.time_since_epoch() / Millis(1)) + " " +
-        Row.Id.Text + " starts again\n");
+        Vm.Id.Text + " restarts\n");
   }
 
   void disturb() {
-    this->rebirth();
-    if (!this->chance(this->Disturbance))
+    this->restartVm();
+    if (!this->chance(this->DisturbanceRate))
       return;
-    WorldVm &Row = this->Rows[static_cast<std::size_t>(
-        roll(static_cast<int>(this->Rows.size())))];
+    SimulatedVm &Vm = this->Vms[static_cast<std::size_t>(
+        roll(static_cast<int>(this->Vms.size())))];
     switch (roll(5)) {
     case 0:
-      Row.Alive = false;
+      Vm.Alive = false;
       break;
     case 1:
-      Row.Unlisted = 20 + roll(40);
+      Vm.Unlisted = 20 + roll(40);
       break;
     case 2: {
-      // A new owner; what the old one sent may still be on its way.
-      // One in three is the old one, restarted: its generation stays.
+      // A new owner, while orders of the old one may still be in flight. One
+      // in three is the old owner, restarted with the same generation.
       this->Generation += static_cast<std::uint64_t>(roll(3));
       this->Planner = DomainPlanner();
-      this->PriorEpochMax = std::max(this->Generation << 20, this->seenEpoch());
-      this->MayPlanAt = this->Now + TakeoverDelay;
-      // The new owner's view may lag more than the old one's.
+      this->PriorEpochMax =
+          std::max(this->Generation << 20, this->epochFloor());
+      this->PlanningAllowedAt = this->Now + TakeoverDelay;
+      // The new owner's view may lag more.
       this->Lag = 5;
       break;
     }
     case 3:
-      this->WronglyLost.insert(this->lifeOf(Row));
+      this->FalselyDead.insert(this->incarnationOf(Vm));
       break;
     default:
-      if (!Row.Alive) {
-        // Its host comes back as another incarnation.
-        WorldVm Fresh;
-        Fresh.Id = VmId(Row.Id.Text + "'");
-        Row = Fresh;
+      if (!Vm.Alive) {
+        // The host returns with a new VM id.
+        SimulatedVm Restarted;
+        Restarted.Id = VmId(Vm.Id.Text + "'");
+        Vm = Restarted;
       }
     }
     if (this->chance(300))
-      this->WronglyLost.clear();
+      this->FalselyDead.clear();
   }
 
-  /// Above each epoch that the registry showed when this was asked.
-  std::uint64_t seenEpoch() const {
+  /// An epoch above all that the registry shows, with a margin for unseen ones.
+  std::uint64_t epochFloor() const {
     constexpr std::uint64_t Unseen = 1024;
     std::uint64_t Seen = 0;
     if (!this->Registry.empty())
-      for (const TargetRef &Row : this->Registry.back())
-        if (Row->Group)
-          Seen = std::max(Seen, Row->Group->Group.Epoch);
+      for (const TargetRef &Target : this->Registry.back())
+        if (Target->Group)
+          Seen = std::max(Seen, Target->Group->Group.Epoch);
     return Seen + Unseen;
   }
 
-  void note(const std::string &What, const GroupOrder &Order, int Status) {
+  void trace(const std::string &What, const GroupOrder &Order, int Status) {
     this->Trace.push_back(
         std::to_string(this->Now.time_since_epoch() / Millis(1)) + " " + What +
         " " + std::string(orderName(Order.Kind)) + " " + Order.To->Id.Text +
@@ -198,31 +201,31 @@
     if (this->Trace.size() > 40)
       this->Trace.pop_front();
   }
-  /// Carries one order out, as targets do. The status that it would give.
-  int carryOut(const GroupOrder &Order) {
-    WorldVm *Row = this->find(Order.To->Id);
-    if (!Row)
+  /// Executes an order as a target does, and returns the response status.
+  int execute(const GroupOrder &Order) {
+    SimulatedVm *Vm = this->find(Order.To->Id);
+    if (!Vm)
       return 0;
-    bool Holds = Row->Group && Row->Group->Group == Order.Group;
+    bool Holds = Vm->Group && Vm->Group->Group == Order.Group;
     switch (Order.Kind) {
     case OrderKind::Join:
-      return this->join(*Row, Order);
+      return this->join(*Vm, Order);
     case OrderKind::Open:
-      if (!Holds || Row->Group->State != MemberState::Ready)
+      if (!Holds || Vm->Group->State != MemberState::Ready)
         return 409;
-      Row->Group->State = MemberState::Open;
+      Vm->Group->State = MemberState::Open;
       ++this->OpenedGroups;
       return 202;
     case OrderKind::Close:
-      if (!Holds || Row->Group->State != MemberState::Open)
+      if (!Holds || Vm->Group->State != MemberState::Open)
         return 409;
-      Row->Group->State = MemberState::Closing;
-      Row->ReadyIn = 1 + roll(5);
+      Vm->Group->State = MemberState::Closing;
+      Vm->ReadyIn = 1 + roll(5);
       return 202;
     case OrderKind::Leave:
       if (!Holds)
         return 409;
-      Row->Group.reset();
+      Vm->Group.reset();
       return 202;
     case OrderKind::Stage:
       break;
@@ -230,117 +233,120 @@
     return 202;
   }
 
-  int join(WorldVm &Row, const GroupOrder &Order) {
-    if (Order.Group.Epoch < Row.EpochSeen)
+  int join(SimulatedVm &Vm, const GroupOrder &Order) {
+    if (Order.Group.Epoch < Vm.EpochSeen)
       return 412;
-    if (Row.Group && Row.Group->Group == Order.Group)
-      return Row.Members == Order.Members ? 200 : 412;
-    if (Row.Group)
-      this->checkFree(Row, Order);
-    Row.EpochSeen = Order.Group.Epoch;
-    auto At = std::find(Order.Members.begin(), Order.Members.end(), Row.Id);
-    Row.Group = Membership{Order.Group,
-                           static_cast<unsigned>(At - Order.Members.begin()),
-                           MemberState::Joining};
-    Row.Members = Order.Members;
-    Row.ReadyIn = Row.Loaded == Order.Model ? 2 : 2 + roll(10);
-    Row.Loaded = Order.Model;
+    if (Vm.Group && Vm.Group->Group == Order.Group)
+      return Vm.Members == Order.Members ? 200 : 412;
+    if (Vm.Group)
+      this->checkFree(Vm, Order);
+    Vm.EpochSeen = Order.Group.Epoch;
+    auto At = std::find(Order.Members.begin(), Order.Members.end(), Vm.Id);
+    Vm.Group = Membership{Order.Group,
+                          static_cast<unsigned>(At - Order.Members.begin()),
+                          MemberState::Joining};
+    Vm.Members = Order.Members;
+    Vm.ReadyIn = Vm.Loaded == Order.Model ? 2 : 2 + roll(10);
+    Vm.Loaded = Order.Model;
     return 202;
   }
 
-  /// No VM is taken from a group whose head serves or stands still.
-  void checkFree(const WorldVm &Row, const GroupOrder &Order) {
-    WorldVm *Head = this->find(Row.Members.front());
-    if (Head && Head->Group && Head->Group->Group == Row.Group->Group &&
+  /// Checks that no VM leaves a group for another while its head serves.
+  void checkFree(const SimulatedVm &Vm, const GroupOrder &Order) {
+    SimulatedVm *Head = this->find(Vm.Members.front());
+    if (Head && Head->Group && Head->Group->Group == Vm.Group->Group &&
         (Head->Group->State == MemberState::Open ||
          Head->Group->State == MemberState::Closing))
-      this->Broken = Row.Id.Text + " joins " + Order.Group.Name +
-                     " while the head of " + Row.Group->Group.Name + " serves";
+      this->Violation = Vm.Id.Text + " joins " + Order.Group.Name +
+                        " while the head of " + Vm.Group->Group.Name +
+                        " serves";
   }
 
-  void deliverLate() {
+  void deliverDelayed() {
     std::vector<GroupOrder> Due;
-    std::erase_if(this->Late, [&](LateOrder &Row) {
-      if (--Row.In > 0)
+    std::erase_if(this->Delayed, [&](DelayedOrder &Delayed) {
+      if (--Delayed.In > 0)
         return false;
-      Due.push_back(Row.Order);
+      Due.push_back(Delayed.Order);
       return true;
     });
-    for (const GroupOrder &Row : Due)
-      this->note("late", Row, this->carryOut(Row));
+    for (const GroupOrder &Order : Due)
+      this->trace("late", Order, this->execute(Order));
   }
 
   void advance() {
-    for (WorldVm &Row : this->Rows) {
-      Row.DeadFor += Row.Alive ? 0 : 1;
-      Row.Unlisted = std::max(0, Row.Unlisted - 1);
-      if (!Row.Alive || !Row.Group)
+    for (SimulatedVm &Vm : this->Vms) {
+      Vm.DeadFor += Vm.Alive ? 0 : 1;
+      Vm.Unlisted = std::max(0, Vm.Unlisted - 1);
+      if (!Vm.Alive || !Vm.Group)
         continue;
-      MemberState &State = Row.Group->State;
-      bool Waits =
+      MemberState &State = Vm.Group->State;
+      bool InTransition =
           State == MemberState::Joining || State == MemberState::Closing;
-      if (Waits && --Row.ReadyIn <= 0) {
+      if (InTransition && --Vm.ReadyIn <= 0) {
         State = MemberState::Ready;
-        this->ReadyOnce.insert({Row.Group->Group, Row.Id});
+        this->ReadyOnce.insert({Vm.Group->Group, Vm.Id});
       }
-      if (Row.Group->Rank == 0 && State == MemberState::Open)
-        this->runGroup(Row);
+      if (Vm.Group->Rank == 0 && State == MemberState::Open)
+        this->runGroup(Vm);
     }
   }
 
-  /// What happens in a group that is open: it runs, or stands still and breaks.
-  void runGroup(WorldVm &Head) {
-    bool AllThere = true;
+  /// Advances an open group: it runs, or stalls and finally breaks.
+  void runGroup(SimulatedVm &Head) {
+    bool AllPresent = true;
     for (const VmId &Id : Head.Members) {
-      WorldVm *Row = this->find(Id);
-      AllThere = AllThere && Row && Row->Group &&
-                 Row->Group->Group == Head.Group->Group;
+      SimulatedVm *Vm = this->find(Id);
+      AllPresent = AllPresent && Vm && Vm->Group &&
+                   Vm->Group->Group == Head.Group->Group;
       if (!this->ReadyOnce.contains({Head.Group->Group, Id}))
-        this->Broken = Head.Group->Group.Name + " runs without " + Id.Text;
+        this->Violation =
+            Head.Group->Group.Name +
+            " runs with a member that was never ready: " + Id.Text;
     }
     const ModelSpec *Model =
         this->Engine.model(modelOf(Head.Group->Group.Name));
     if (!Model || Head.Members.size() != Model->GroupSize)
-      this->Broken = Head.Group->Group.Name + " has not its size";
-    Head.StandingStill = AllThere ? 0 : Head.StandingStill + 1;
-    if (Head.StandingStill > BreakSteps)
+      this->Violation = Head.Group->Group.Name + " has the wrong size";
+    Head.StalledSteps = AllPresent ? 0 : Head.StalledSteps + 1;
+    if (Head.StalledSteps > StepsUntilBroken)
       Head.Group->State = MemberState::Broken;
   }
 
-  TargetRef listed(const WorldVm &Row) const {
+  TargetRef listed(const SimulatedVm &Vm) const {
     auto Info = std::make_shared<TargetInfo>();
-    Info->Id = Row.Id;
-    Info->Born = WallMs(Row.Life);
+    Info->Id = Vm.Id;
+    Info->Born = WallMs(Vm.Incarnation);
     Info->Domain = DomainId("d");
-    Info->Group = Row.Group;
+    Info->Group = Vm.Group;
     Info->Staged = {"large", "small"};
-    if (!Row.Loaded.empty())
-      Info->Loaded = {Row.Loaded};
+    if (!Vm.Loaded.empty())
+      Info->Loaded = {Vm.Loaded};
     return Info;
   }
 
-  /// Keeps what the registry shows, for views that lag.
-  void remember() {
+  /// Records the current registry for lagging views.
+  void recordRegistry() {
     std::vector<TargetRef> Shown;
-    for (WorldVm &Row : this->Rows) {
-      bool There = Row.Alive
-                       ? Row.Unlisted == 0
-                       : Row.DeadFor < ListedAfterDeath && Row.Unlisted == 0;
-      if (There && Row.Stale > 0 && this->LastShown.contains(Row.Id)) {
-        --Row.Stale;
-        Shown.push_back(this->LastShown[Row.Id]);
-      } else if (There) {
-        // The dead still show what they said last.
-        Shown.push_back(this->listed(Row));
-        this->Removed.erase(Row.Id);
-        this->LastShown[Row.Id] = Shown.back();
+    for (SimulatedVm &Vm : this->Vms) {
+      bool Listed =
+          Vm.Alive ? Vm.Unlisted == 0
+                   : Vm.DeadFor < StepsListedAfterDeath && Vm.Unlisted == 0;
+      if (Listed && Vm.Stale > 0 && this->LastShown.contains(Vm.Id)) {
+        --Vm.Stale;
+        Shown.push_back(this->LastShown[Vm.Id]);
+      } else if (Listed) {
+        // Dead VMs stay listed with their last entry for a while.
+        Shown.push_back(this->listed(Vm));
+        this->Removed.erase(Vm.Id);
+        this->LastShown[Vm.Id] = Shown.back();
       }
     }
     for (const auto &Entry : this->LastShown) {
       const VmId &Id = Entry.first;
-      bool There = std::any_of(Shown.begin(), Shown.end(),
-                               [&](const auto &R) { return R->Id == Id; });
-      if (!There && !this->Removed.contains(Id))
+      bool Listed = std::any_of(Shown.begin(), Shown.end(),
+                                [&](const auto &R) { return R->Id == Id; });
+      if (!Listed && !this->Removed.contains(Id))
         this->Removed[Id] = {Entry.second, this->Now};
     }
     this->Registry.push_back(Shown);
@@ -349,67 +355,68 @@
   }
 
   void plan() {
-    if (this->Now < this->MayPlanAt)
+    if (this->Now < this->PlanningAllowedAt)
       return;
     DomainView View;
     View.Domain = DomainId("d");
     View.Now = this->Now;
-    // A view lags more or less, and never goes back.
+    // The lag varies, but a view never goes back in time.
     this->Lag =
         std::min<std::size_t>({this->Lag + 1, static_cast<std::size_t>(roll(6)),
                                this->Registry.size() - 1});
     View.Targets = this->Registry[this->Registry.size() - 1 - this->Lag];
-    for (const auto &[Id, Row] : this->Removed)
-      View.Removed.push_back(Row);
-    for (const auto &[Id, Row] : this->Removed) {
-      WorldVm *Vm = this->find(Id);
-      bool Answers = Vm && Vm->Group && Row.Last->Group &&
-                     Vm->Group->Group == Row.Last->Group->Group;
-      // One that is cut off from the owner too counts as dead.
-      VmLife Life = Row.Last->life();
-      View.Statuses[Life] = Answers && this->lifeOf(*Vm) == Life &&
-                                    !this->WronglyLost.contains(Life)
-                                ? MemberStatus::Alive
-                                : MemberStatus::Dead;
+    for (const auto &[Id, Target] : this->Removed)
+      View.Removed.push_back(Target);
+    for (const auto &[Id, Target] : this->Removed) {
+      SimulatedVm *Vm = this->find(Id);
+      bool Responds = Vm && Vm->Group && Target.Last->Group &&
+                      Vm->Group->Group == Target.Last->Group->Group;
+      // A VM that the owner cannot reach either counts as dead.
+      VmLife Incarnation = Target.Last->life();
+      View.Statuses[Incarnation] =
+          Responds && this->incarnationOf(*Vm) == Incarnation &&
+                  !this->FalselyDead.contains(Incarnation)
+              ? MemberStatus::Alive
+              : MemberStatus::Dead;
     }
-    View.PresumedDead = this->WronglyLost;
+    View.PresumedDead = this->FalselyDead;
     View.EpochFloor = std::max(this->Generation << 20, this->PriorEpochMax);
     View.PriorEpochMax = this->PriorEpochMax;
     View.LoadsAllowed = 100;
-    for (const GroupOrder &Row : this->Planner.step(View, this->Engine))
-      this->send(Row);
+    for (const GroupOrder &Order : this->Planner.step(View, this->Engine))
+      this->send(Order);
   }
 
   void send(const GroupOrder &Order) {
-    int How = this->Disturbance > 0 ? roll(20) : 10;
-    if (How == 0)
-      return this->note("lost", Order, 0);
-    if (How <= 2) {
-      // No answer, and carried out seconds later.
-      this->Late.push_back({Order, 1 + roll(100)});
-      return this->note("delayed", Order, 0);
+    int Outcome = this->DisturbanceRate > 0 ? roll(20) : 10;
+    if (Outcome == 0)
+      return this->trace("lost", Order, 0);
+    if (Outcome <= 2) {
+      // No response, and executed up to ten seconds later.
+      this->Delayed.push_back({Order, 1 + roll(100)});
+      return this->trace("delayed", Order, 0);
     }
-    int Status = this->carryOut(Order);
-    this->note(How > 4 ? "done" : "unanswered", Order, Status);
-    bool Answered = How > 4 && Status != 0;
-    if (Answered && Order.Kind == OrderKind::Leave && Status != 412)
+    int Status = this->execute(Order);
+    this->trace(Outcome > 4 ? "done" : "unanswered", Order, Status);
+    bool Responded = Outcome > 4 && Status != 0;
+    if (Responded && Order.Kind == OrderKind::Leave && Status != 412)
       this->Planner.onLeaveConfirmed(Order);
   }
 
   std::mt19937_64 Random;
   EngineSpec Engine;
-  std::vector<WorldVm> Rows;
+  std::vector<SimulatedVm> Vms;
   DomainPlanner Planner;
   std::uint64_t Generation = 1;
   std::uint64_t PriorEpochMax = 1U << 20;
-  TimePoint MayPlanAt;
+  TimePoint PlanningAllowedAt;
   std::size_t Lag = 0;
   TimePoint Now{std::chrono::seconds(1000)};
   std::deque<std::vector<TargetRef>> Registry;
   std::map<VmId, TargetRef> LastShown;
   std::map<VmId, RemovedTarget> Removed;
-  std::set<VmLife> WronglyLost;
-  std::vector<LateOrder> Late;
+  std::set<VmLife> FalselyDead;
+  std::vector<DelayedOrder> Delayed;
   std::set<std::pair<GroupKey, VmId>> ReadyOnce;
 };
 
@@ -418,11 +425,11 @@
 TEST_CASE("planner: an undisturbed domain: opens all its groups",
           "[property]") {
   for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
-    World Run(Seed);
-    Run.Disturbance = 0;
+    Simulation Run(Seed);
+    Run.DisturbanceRate = 0;
     Run.run(150);
-    INFO("seed " << Seed << ": " << Run.Broken);
-    CHECK(Run.Broken.empty());
+    INFO("seed " << Seed << ": " << Run.Violation);
+    CHECK(Run.Violation.empty());
     CHECK(Run.OpenedGroups >= 2);
   }
 }
@@ -431,24 +438,23 @@
           "partial group",
           "[property]") {
   for (std::uint64_t Seed = 0; Seed < 1500; ++Seed) {
-    World Run(Seed);
+    Simulation Run(Seed);
     Run.run(500);
-    INFO("seed " << Seed << ": " << Run.Broken << "\n" << Run.traceText());
-    CHECK(Run.Broken.empty());
+    INFO("seed " << Seed << ": " << Run.Violation << "\n" << Run.traceText());
+    CHECK(Run.Violation.empty());
   }
 }
 
-/// VMs start again under their ids: they hold nothing then, have forgotten each
-/// epoch, and take orders that were meant for the life before.
+// A restarted VM accepts orders meant for its predecessor.
 TEST_CASE("planner: VMs start again under their ids: no VM in two groups, no "
           "partial group",
           "[property]") {
   for (std::uint64_t Seed = 0; Seed < 1500; ++Seed) {
-    World Run(Seed);
-    Run.Rebirths = 30;
+    Simulation Run(Seed);
+    Run.RestartRate = 30;
     Run.run(500);
-    INFO("seed " << Seed << ": " << Run.Broken << "\n" << Run.traceText());
-    CHECK(Run.Broken.empty());
+    INFO("seed " << Seed << ": " << Run.Violation << "\n" << Run.traceText());
+    CHECK(Run.Violation.empty());
   }
 }
 
@@ -456,14 +462,14 @@
           "opens groups of them",
           "[property]") {
   for (std::uint64_t Seed = 0; Seed < 200; ++Seed) {
-    World Run(Seed);
-    Run.Disturbance = 0;
-    Run.Rebirths = 60;
+    Simulation Run(Seed);
+    Run.DisturbanceRate = 0;
+    Run.RestartRate = 60;
     Run.run(200);
-    Run.Rebirths = 0;
+    Run.RestartRate = 0;
     Run.run(150);
-    INFO("seed " << Seed << ": " << Run.Broken << "\n" << Run.traceText());
-    CHECK(Run.Broken.empty());
+    INFO("seed " << Seed << ": " << Run.Violation << "\n" << Run.traceText());
+    CHECK(Run.Violation.empty());
     CHECK(Run.openNow() >= 2);
   }
 }
--- a/tests/unit/domain_convert_test.cpp
+++ b/tests/unit/domain_convert_test.cpp
@@ -2,13 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Groups that follow the demand, in virtual time: six domains of 27 VMs with a
-// planner each, which see the registry half a second late. The pattern: callers
-// ask other models than operators foresaw, and turn round; groups must follow,
-// once, and rest while the demand merely waves.
-//
-// The engine's figures, sizes and rates are those of an operators' sheet:
-// models of 12 and 6 VMs, 48 and 315 requests a second.
+// Conversion of groups after a shift of demand, in virtual time: six domains of
+// 27 VMs, each with its own planner, see the registry half a second late.
 #include "control/domain_views.h"
 #include "support/times.h"
 
@@ -24,13 +19,13 @@
 constexpr int LagMs = 500;
 constexpr int Domains = 6;
 constexpr int VmsPerDomain = 27;
-/// Callers of a model come and go by turns.
+/// Period of the demand's waves.
 constexpr double WaveMs = 11000;
 
-/// A VM as it is; the registry shows it later.
-struct WorldVm {
+/// Actual state of a VM; the registry shows it with a delay.
+struct SimulatedVm {
   TargetInfo Info;
-  std::string Loads;
+  std::string Loading;
   int ReadyAt = -1;
 };
 
@@ -46,9 +41,9 @@
 }
 
 Settings entrySettings() {
-  Settings Given;
-  Given.Entry.emplace();
-  return Given;
+  Settings Config;
+  Config.Entry.emplace();
+  return Config;
 }
 
 } // namespace
@@ -69,28 +64,28 @@
     this->Config.Services[Spec.Id] = Spec;
     for (std::uint64_t Part = 0; Part < this->Board.Config.Entry->WorkParts;
          ++Part)
-      this->Mine.Partitions.push_back(Part);
+      this->Assignment.Partitions.push_back(Part);
     for (int I = 0; I < Domains * VmsPerDomain; ++I)
       this->addVm(I / VmsPerDomain);
-    // Before callers come, loads are not bounded.
-    this->Free = true;
+    // Before the first request, loads are not limited.
+    this->UnlimitedPhase = true;
     this->run(8000);
-    this->Free = false;
+    this->UnlimitedPhase = false;
   }
 
   EngineSpec &engine() {
     return *this->Config.Services[ServiceId("llm")].Engine;
   }
   void addVm(int Domain) {
-    WorldVm Vm;
+    SimulatedVm Vm;
     Vm.Info.Id = VmId("vm" + std::to_string(++this->Ids));
     Vm.Info.Service = ServiceId("llm");
     Vm.Info.Domain = DomainId("d" + std::to_string(Domain));
     Vm.Info.DataCentre = DataCentreId("c" + std::to_string(Domain % 3));
     this->Vms.push_back(Vm);
   }
-  /// \p Large and \p Small requests a second.
-  void ask(double Large, double Small) {
+  /// Sets the demand to \p Large and \p Small requests per second.
+  void setDemand(double Large, double Small) {
     this->Demand = {{"large", {Large, Large * 1627, Large * 102}},
                     {"small", {Small, Small * 674, Small * 150}}};
   }
@@ -105,33 +100,33 @@
   }
 
   void advance() {
-    for (WorldVm &Vm : this->Vms) {
+    for (SimulatedVm &Vm : this->Vms) {
       if (Vm.ReadyAt < 0 || this->NowMs < Vm.ReadyAt)
         continue;
       Vm.ReadyAt = -1;
-      if (!Vm.Loads.empty()) {
-        Vm.Info.Staged = {Vm.Loads};
+      if (!Vm.Loading.empty()) {
+        Vm.Info.Staged = {Vm.Loading};
         if (Vm.Info.Group && Vm.Info.Group->State == MemberState::Joining)
-          Vm.Info.Loaded = {Vm.Loads};
-        Vm.Loads.clear();
+          Vm.Info.Loaded = {Vm.Loading};
+        Vm.Loading.clear();
       }
       if (Vm.Info.Group)
         Vm.Info.Group->State = MemberState::Ready;
     }
   }
 
-  /// Gives the board the registry as it was a while ago.
+  /// Publishes the registry as it was LagMs ago.
   void publish() {
-    std::vector<TargetRef> Rows;
-    for (const WorldVm &Vm : this->Vms)
-      Rows.push_back(std::make_shared<const TargetInfo>(Vm.Info));
-    this->Shown.push_back(std::move(Rows));
-    if (this->Shown.size() > LagMs / StepMs)
-      this->Shown.pop_front();
+    std::vector<TargetRef> Targets;
+    for (const SimulatedVm &Vm : this->Vms)
+      Targets.push_back(std::make_shared<const TargetInfo>(Vm.Info));
+    this->RegistryHistory.push_back(std::move(Targets));
+    if (this->RegistryHistory.size() > LagMs / StepMs)
+      this->RegistryHistory.pop_front();
     this->Board.Targets.write([&](Fleet &Fleet) {
       Fleet.Targets.clear();
-      for (const TargetRef &Row : this->Shown.front())
-        Fleet.Targets[Row->Id] = Row;
+      for (const TargetRef &Target : this->RegistryHistory.front())
+        Fleet.Targets[Target->Id] = Target;
     });
   }
 
@@ -141,28 +136,30 @@
       if (unsigned Count = this->open(Model); Count > 0)
         ServingGroups[Model] = Count;
     std::vector<GroupOrder> Orders;
-    for (auto &[Domain, View] :
-         ownedDomains(this->Board, this->Config, this->Mine, at(this->NowMs))) {
+    for (auto &[Domain, View] : ownedDomains(
+             this->Board, this->Config, this->Assignment, at(this->NowMs))) {
       View.ServingGroups = ServingGroups;
       View.Demand = this->Demand;
       View.EpochFloor = 1;
-      if (this->Free)
+      if (this->UnlimitedPhase)
         View.LoadsAllowed = UnlimitedLoads;
-      for (GroupOrder &Row : this->Planners[Domain].step(View, this->engine()))
-        Orders.push_back(std::move(Row));
+      for (GroupOrder &Order :
+           this->Planners[Domain].step(View, this->engine()))
+        Orders.push_back(std::move(Order));
     }
-    for (const GroupOrder &Row : Orders)
-      this->carryOut(Row);
+    for (const GroupOrder &Order : Orders)
+      this->execute(Order);
   }
 
-  WorldVm *find(const VmId &Id) {
-    auto At = std::find_if(this->Vms.begin(), this->Vms.end(),
-                           [&](const WorldVm &Vm) { return Vm.Info.Id == Id; });
+  SimulatedVm *find(const VmId &Id) {
+    auto At =
+        std::find_if(this->Vms.begin(), this->Vms.end(),
+                     [&](const SimulatedVm &Vm) { return Vm.Info.Id == Id; });
     return At == this->Vms.end() ? nullptr : &*At;
   }
 
-  void carryOut(const GroupOrder &Order) {
-    WorldVm *Vm = this->find(Order.To->Id);
+  void execute(const GroupOrder &Order) {
+    SimulatedVm *Vm = this->find(Order.To->Id);
     if (!Vm)
       return;
     std::optional<Membership> &Group = Vm->Info.Group;
@@ -170,9 +167,9 @@
     if (Order.Kind == OrderKind::Join)
       return this->join(*Vm, Order);
     if (Order.Kind == OrderKind::Stage) {
-      Vm->Loads = Order.Model;
+      Vm->Loading = Order.Model;
       Vm->ReadyAt = this->NowMs + this->loadMs(Order.Model);
-      ++this->Loads;
+      ++this->LoadCount;
       return;
     }
     if (Order.Kind == OrderKind::Leave) {
@@ -190,14 +187,14 @@
       return;
     Vm->ReadyAt = this->NowMs + 600;
     if (Order.Reason.starts_with("its VMs are to serve"))
-      ++this->Changes;
+      ++this->Conversions;
   }
 
   int loadMs(const std::string &Model) {
     return static_cast<int>(this->engine().model(Model)->LoadTime.count());
   }
 
-  void join(WorldVm &Vm, const GroupOrder &Order) {
+  void join(SimulatedVm &Vm, const GroupOrder &Order) {
     auto Rank =
         std::find(Order.Members.begin(), Order.Members.end(), Vm.Info.Id) -
         Order.Members.begin();
@@ -205,18 +202,18 @@
                                MemberState::Joining};
     bool Warm = Vm.Info.hasStaged(Order.Model);
     bool Loaded = Vm.Info.hasLoaded(Order.Model);
-    Vm.Loads = Order.Model;
-    Vm.ReadyAt = this->NowMs +
-                 (Loaded ? 200
-                  : Warm ? 1600
-                         : this->loadMs(Order.Model) / (this->Free ? 10 : 1));
-    this->Loads += !Loaded && !Warm;
+    Vm.Loading = Order.Model;
+    Vm.ReadyAt = this->NowMs + (Loaded ? 200
+                                : Warm ? 1600
+                                       : this->loadMs(Order.Model) /
+                                             (this->UnlimitedPhase ? 10 : 1));
+    this->LoadCount += !Loaded && !Warm;
   }
 
-  /// Groups that are open and whole.
+  /// Number of complete, open groups.
   unsigned open(const std::string &Model) const {
     std::map<GroupKey, std::pair<unsigned, bool>> Groups;
-    for (const WorldVm &Vm : this->Vms)
+    for (const SimulatedVm &Vm : this->Vms)
       if (Vm.Info.Group && modelOf(Vm.Info.Group->Group.Name) == Model) {
         auto &[Members, Open] = Groups[Vm.Info.Group->Group];
         ++Members;
@@ -236,16 +233,16 @@
 
   EntryBoard Board;
   RoutingConfig Config;
-  PartitionAssignment Mine;
+  PartitionAssignment Assignment;
   std::map<DomainId, DomainPlanner> Planners;
-  std::vector<WorldVm> Vms;
-  std::deque<std::vector<TargetRef>> Shown;
+  std::vector<SimulatedVm> Vms;
+  std::deque<std::vector<TargetRef>> RegistryHistory;
   DemandTable Demand;
-  bool Free = false;
+  bool UnlimitedPhase = false;
   int NowMs = 0;
   int Ids = 0;
-  int Loads = 0;
-  int Changes = 0;
+  int LoadCount = 0;
+  int Conversions = 0;
 };
 
 TEST_CASE_METHOD(
@@ -255,52 +252,52 @@
     "[unit]") {
   REQUIRE(this->open("large") == 6);
   REQUIRE(this->open("small") == 12);
-  this->ask(57, 380);
+  this->setDemand(57, 380);
   CHECK(this->load("small") > 0.85);
   this->run(40000);
   INFO("large " << this->open("large") << ", small " << this->open("small"));
   CHECK(this->load("small") < 0.78);
   CHECK(this->load("large") < 0.78);
-  int Changes = this->Changes;
-  CHECK(Changes <= 3);
+  int Conversions = this->Conversions;
+  CHECK(Conversions <= 3);
   this->run(60000);
-  CHECK(this->Changes == Changes);
+  CHECK(this->Conversions == Conversions);
 }
 
 TEST_CASE_METHOD(ConvertFixture,
                  "groups follow the demand: it waves by a fifth: groups rest",
                  "[unit]") {
   for (int Ms = 0; Ms < 120000; Ms += 1000) {
-    // Each model's callers come and go at their own times.
+    // The waves of the two models are out of phase.
     double Phase = 2 * M_PI * Ms / WaveMs;
-    this->ask(48 * (1 + 0.2 * std::sin(Phase)),
-              240 * (1 + 0.2 * std::sin(Phase + 2)));
+    this->setDemand(48 * (1 + 0.2 * std::sin(Phase)),
+                    240 * (1 + 0.2 * std::sin(Phase + 2)));
     this->run(1000);
   }
-  CHECK(this->Changes == 0);
+  CHECK(this->Conversions == 0);
 }
 
 TEST_CASE_METHOD(ConvertFixture,
                  "groups follow the demand: it turns round: so do the groups, "
                  "small ones giving way to large ones",
                  "[unit]") {
-  this->ask(57, 380);
+  this->setDemand(57, 380);
   this->run(40000);
   unsigned Before = this->open("large");
-  this->ask(105, 100);
+  this->setDemand(105, 100);
   this->run(60000);
   INFO("large " << Before << " then " << this->open("large") << ", small "
                 << this->open("small"));
   CHECK(this->open("large") > Before);
   CHECK(this->load("large") < 1);
-  CHECK(this->Changes <= 12);
+  CHECK(this->Conversions <= 12);
 }
 
 TEST_CASE_METHOD(ConvertFixture,
                  "groups follow the demand: two VMs are lost each three "
                  "seconds and others come: few changes, each load of use",
                  "[unit]") {
-  this->ask(48, 330);
+  this->setDemand(48, 330);
   for (int Round = 0; Round < 20; ++Round) {
     for (int Lost = 0; Lost < 2; ++Lost) {
       std::size_t Index = mixHash(static_cast<std::uint64_t>(Round), 7 + Lost) %
@@ -312,8 +309,8 @@
     this->run(3000);
   }
   INFO("large " << this->open("large") << ", small " << this->open("small")
-                << ", loads " << this->Loads);
-  CHECK(this->Changes <= 6);
+                << ", loads " << this->LoadCount);
+  CHECK(this->Conversions <= 6);
   CHECK(this->load("small") < 1);
   CHECK(this->load("large") < 1);
 }
--- a/tests/unit/domain_stage_test.cpp
+++ b/tests/unit/domain_stage_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Which weights a domain's planner stages on hosts that rest.
+// Staging of weights on the hosts of free VMs, and forming of groups of them.
 #include "policy/domain_plan.h"
 #include "support/times.h"
 
@@ -10,7 +10,7 @@
 
 namespace waycove::test {
 
-/// A domain whose large model serves, and VMs that rest beside its group.
+/// A domain with one serving group of the large model, and free VMs.
 struct StageFixture {
   StageFixture() {
     ModelSpec Large;
@@ -34,13 +34,13 @@
 
   void add(const std::string &Id, const std::string &Staged,
            std::optional<Membership> Group = std::nullopt) {
-    auto Row = std::make_shared<TargetInfo>();
-    Row->Id = VmId(Id);
-    Row->Service = ServiceId("llm");
-    Row->Domain = DomainId("d");
-    Row->Staged = {Staged};
-    Row->Group = std::move(Group);
-    this->View.Targets.push_back(Row);
+    auto Target = std::make_shared<TargetInfo>();
+    Target->Id = VmId(Id);
+    Target->Service = ServiceId("llm");
+    Target->Domain = DomainId("d");
+    Target->Staged = {Staged};
+    Target->Group = std::move(Group);
+    this->View.Targets.push_back(Target);
   }
   void group(const std::string &Model, unsigned Size) {
     GroupKey Key{groupName(Model, DomainId("d"), 7), 7};
@@ -49,24 +49,25 @@
                 Membership{Key, Rank,
                            Rank == 0 ? MemberState::Open : MemberState::Ready});
   }
-  void rest(int Count, const std::string &Staged) {
+  void addFree(int Count, const std::string &Staged) {
     for (int I = 0; I < Count; ++I)
       this->add("rest-" + Staged + std::to_string(I), Staged);
   }
-  /// A load of \p Model: beside a group, or by joining one alone.
-  static bool loads(const GroupOrder &Row, const std::string &Model) {
-    return Row.Model == Model && !Row.To->hasStaged(Model) &&
-           (Row.Kind == OrderKind::Stage ||
-            (Row.Kind == OrderKind::Join && Row.Members.size() == 1));
+  /// Whether the order loads \p Model: by staging, or by joining a load group.
+  static bool isLoadOf(const GroupOrder &Order, const std::string &Model) {
+    return Order.Model == Model && !Order.To->hasStaged(Model) &&
+           (Order.Kind == OrderKind::Stage ||
+            (Order.Kind == OrderKind::Join && Order.Members.size() == 1));
   }
-  /// VMs on which loads of \p Model are ordered over some steps.
+  /// Number of VMs on which loads of \p Model are ordered within 2 s.
   int staged(const std::string &Model) {
     std::set<VmId> Hosts;
     for (int Ms = 0; Ms < 2000; Ms += 100) {
       this->View.Now = at(Ms);
-      for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
-        if (loads(Row, Model))
-          Hosts.insert(Row.To->Id);
+      for (const GroupOrder &Order :
+           this->Planner.step(this->View, this->Engine))
+        if (isLoadOf(Order, Model))
+          Hosts.insert(Order.To->Id);
     }
     return static_cast<int>(Hosts.size());
   }
@@ -80,8 +81,8 @@
                  "staging: resting hosts hold the wrong weights: as many are "
                  "staged as a group lacks",
                  "[unit]") {
-  this->rest(3, "small");
-  this->rest(4, "large");
+  this->addFree(3, "small");
+  this->addFree(4, "large");
   CHECK(this->staged("small") == 1);
 }
 
@@ -89,15 +90,15 @@
                  "staging: too few hosts rest for a group: weights are kept",
                  "[unit]") {
   this->group("small", 4);
-  this->rest(1, "small");
-  this->rest(2, "large");
+  this->addFree(1, "small");
+  this->addFree(2, "large");
   CHECK(this->staged("small") == 0);
 }
 
 TEST_CASE_METHOD(StageFixture,
                  "staging: nothing fits at all: the whole group is staged",
                  "[unit]") {
-  this->rest(4, "large");
+  this->addFree(4, "large");
   CHECK(this->staged("small") == 4);
 }
 
@@ -106,13 +107,13 @@
                  "waits in a group for another's load",
                  "[unit]") {
   this->View.ServingGroups = {{"large", 9}, {"small", 1}};
-  this->rest(3, "small");
-  this->rest(1, "large");
+  this->addFree(3, "small");
+  this->addFree(1, "large");
   for (int Ms = 0; Ms < 2000; Ms += 100) {
     this->View.Now = at(Ms);
-    for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
-      // One that loads in a group of its own waits for nobody.
-      CHECK((Row.Kind != OrderKind::Join || Row.Members.size() == 1));
+    for (const GroupOrder &Order : this->Planner.step(this->View, this->Engine))
+      // A load group has one member.
+      CHECK((Order.Kind != OrderKind::Join || Order.Members.size() == 1));
   }
 }
 
@@ -120,53 +121,54 @@
                  "reserves: one never ran its model: it loads it in a group of "
                  "its own, never opened, and leaves",
                  "[unit]") {
-  this->rest(1, "small");
-  auto Ordered = [&](int Ms) {
+  this->addFree(1, "small");
+  auto OrdersAt = [&](int Ms) {
     this->View.Now = at(Ms);
-    std::vector<GroupOrder> Rows;
-    for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
-      if (Row.To->Id == VmId("rest-small0") && Row.Kind != OrderKind::Stage)
-        Rows.push_back(Row);
-    return Rows;
+    std::vector<GroupOrder> Orders;
+    for (const GroupOrder &Order : this->Planner.step(this->View, this->Engine))
+      if (Order.To->Id == VmId("rest-small0") && Order.Kind != OrderKind::Stage)
+        Orders.push_back(Order);
+    return Orders;
   };
-  // Others of its domain may be listed in a moment, and make a group with it.
-  CHECK(Ordered(0).empty());
-  CHECK(Ordered(600).empty());
-  std::vector<GroupOrder> Join = Ordered(700);
+  // Other VMs may be listed soon and form a group with it.
+  CHECK(OrdersAt(0).empty());
+  CHECK(OrdersAt(600).empty());
+  std::vector<GroupOrder> Join = OrdersAt(700);
   REQUIRE(Join.size() == 1);
   CHECK(Join[0].Kind == OrderKind::Join);
   CHECK(Join[0].Members == std::vector<VmId>{VmId("rest-small0")});
-  auto Row = std::make_shared<TargetInfo>(*this->View.Targets.back());
-  Row->Group = Membership{Join[0].Group, 0, MemberState::Joining};
-  this->View.Targets.back() = Row;
-  CHECK(Ordered(1200).empty());
-  Row = std::make_shared<TargetInfo>(*Row);
-  Row->Group->State = MemberState::Ready;
-  Row->Loaded = {"small"};
-  this->View.Targets.back() = Row;
-  std::vector<GroupOrder> Leave = Ordered(2200);
+  auto Target = std::make_shared<TargetInfo>(*this->View.Targets.back());
+  Target->Group = Membership{Join[0].Group, 0, MemberState::Joining};
+  this->View.Targets.back() = Target;
+  CHECK(OrdersAt(1200).empty());
+  Target = std::make_shared<TargetInfo>(*Target);
+  Target->Group->State = MemberState::Ready;
+  Target->Loaded = {"small"};
+  this->View.Targets.back() = Target;
+  std::vector<GroupOrder> Leave = OrdersAt(2200);
   REQUIRE(Leave.size() == 1);
   CHECK(Leave[0].Kind == OrderKind::Leave);
   this->Planner.onLeaveConfirmed(Leave[0]);
-  CHECK(Ordered(2300).empty());
+  CHECK(OrdersAt(2300).empty());
 }
 
 TEST_CASE_METHOD(StageFixture,
                  "forming: another model has no group anywhere: what is there "
                  "forms nevertheless",
                  "[unit]") {
-  // Hundreds of times too much is asked of the model without a group: beside
-  // what that loses, what another group gains must not vanish.
+  // The demand for the model without a group is so large that its loss would
+  // hide the gain of another group.
   this->View.ServingGroups = {{"large", 1}};
   this->View.Demand = {{"large", {1, 100, 0}}, {"small", {900, 900000, 0}}};
   this->Engine.ReadTokensPerSecond = 46000;
   this->Engine.StepMillisPerRequest = 0.1;
-  this->rest(8, "large");
+  this->addFree(8, "large");
   int Joins = 0;
   for (int Ms = 0; Ms < 600; Ms += 100) {
     this->View.Now = at(Ms);
-    for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
-      Joins += Row.Kind == OrderKind::Join && Row.Members.size() == 8 ? 1 : 0;
+    for (const GroupOrder &Order : this->Planner.step(this->View, this->Engine))
+      Joins +=
+          Order.Kind == OrderKind::Join && Order.Members.size() == 8 ? 1 : 0;
   }
   CHECK(Joins == 8);
 }
@@ -176,20 +178,21 @@
     "forming: nothing serves anywhere: a group forms of the weights "
     "that are there",
     "[unit]") {
-  // All heads were lost at once. The domain's ten VMs would make one group of
-  // each model; only for the small one the weights are there.
+  // All heads were lost. The planned groups would be one of each model, but
+  // only the small one has all its weights.
   this->View.Targets.clear();
   this->View.ServingGroups.clear();
-  this->rest(4, "small");
-  this->rest(4, "large");
+  this->addFree(4, "small");
+  this->addFree(4, "large");
   auto Joins = [&](std::size_t Size) {
     int Count = 0;
     DomainPlanner Fresh;
     for (int Ms = 0; Ms < 1600; Ms += 100) {
       this->View.Now = at(Ms);
-      for (const GroupOrder &Row : Fresh.step(this->View, this->Engine))
-        Count +=
-            Row.Kind == OrderKind::Join && Row.Members.size() == Size ? 1 : 0;
+      for (const GroupOrder &Order : Fresh.step(this->View, this->Engine))
+        Count += Order.Kind == OrderKind::Join && Order.Members.size() == Size
+                     ? 1
+                     : 0;
     }
     return Count;
   };
@@ -203,13 +206,13 @@
                  "loads: a VM shows that it loads for an earlier owner: it is "
                  "waited for",
                  "[unit]") {
-  this->rest(3, "small");
+  this->addFree(3, "small");
   GroupKey Key{loadGroupName("small", DomainId("d"), 5), 5};
   this->add("loading", "large", Membership{Key, 0, MemberState::Joining});
   for (int Ms = 0; Ms < 9000; Ms += 100) {
     this->View.Now = at(Ms);
-    for (const GroupOrder &Row : this->Planner.step(this->View, this->Engine))
-      CHECK(Row.To->Id != VmId("loading"));
+    for (const GroupOrder &Order : this->Planner.step(this->View, this->Engine))
+      CHECK(Order.To->Id != VmId("loading"));
   }
 }
 
@@ -219,9 +222,9 @@
                  "[unit]") {
   this->View.DrainGracePeriod = Millis(1300);
   auto ClosedAt = [&](std::size_t Member) {
-    auto Row = std::make_shared<TargetInfo>(*this->View.Targets[Member]);
-    Row->Draining = true;
-    this->View.Targets[Member] = Row;
+    auto Target = std::make_shared<TargetInfo>(*this->View.Targets[Member]);
+    Target->Draining = true;
+    this->View.Targets[Member] = Target;
     for (int Ms = 0; Ms < 3000; Ms += 100) {
       this->View.Now = at(Ms);
       for (const GroupOrder &Order :
@@ -233,7 +236,7 @@
   };
   CHECK(ClosedAt(3) == 1300);
   this->Planner = DomainPlanner();
-  // A head that drains takes no more requests.
+  // A draining head takes no more requests.
   CHECK(ClosedAt(0) == 0);
 }
 
--- a/tests/unit/group_load_test.cpp
+++ b/tests/unit/group_load_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// How loaded the groups of a model are, and what callers lose by it.
+// Load of the groups of a model, and the loss computed from it.
 #include "policy/domain_plan.h"
 #include "policy/group_load.h"
 #include "support/times.h"
@@ -30,7 +30,7 @@
     Small.TimeFactor = 0.5;
     this->Engine.Models = {Large, Small};
     this->Engine.ModelsStagedPerHost = 1;
-    // A second's work for 4 large groups at a load of 0.5, and 2 small ones.
+    // A load of 0.5 for 4 large and 2 small groups.
     this->Demand["large"] = {40, 60000, 2000};
     this->Demand["small"] = {40, 60000, 2000};
   }
@@ -54,11 +54,10 @@
         Approx(0.5));
 }
 
-/// Requests of one group that run at a time when \p PerSecond come in a second,
-/// worked out step by step: as many tokens as requests that write, and prompts
-/// read between the steps.
-double slotsTaken(const EngineSpec &Engine, double PerSecond, double Prompt,
-                  double Answer) {
+/// Iterates the number of concurrent requests of one group at \p PerSecond
+/// requests per second until it converges.
+double usedSlots(const EngineSpec &Engine, double PerSecond, double Prompt,
+                 double Answer) {
   double Running = 0;
   for (int Round = 0; Round < 1000; ++Round) {
     double StepMs = Engine.StepMillis + Engine.StepMillisPerRequest * Running;
@@ -69,8 +68,7 @@
   return Running;
 }
 
-// Eight groups of a model before 290 requests a second looked half idle, and
-// their slots were full: half of the first events were late.
+// Guards against ignoring the shared step in the load.
 TEST_CASE_METHOD(LoadFixture,
                  "group load: steps that all requests share: full slots are a "
                  "load of 1",
@@ -82,12 +80,12 @@
   ModelSpec Model = this->large();
   Model.TimeFactor = 1;
   auto Load = [&](double PerSecond) {
-    ModelDemand Asked{PerSecond, PerSecond * 674, PerSecond * 150};
-    return groupLoad(this->Engine, Model, Asked, 1);
+    ModelDemand Demand{PerSecond, PerSecond * 674, PerSecond * 150};
+    return groupLoad(this->Engine, Model, Demand, 1);
   };
   double Full = 1 / Load(1);
-  CHECK(slotsTaken(this->Engine, Full, 674, 150) == Approx(48).epsilon(0.01));
-  CHECK(slotsTaken(this->Engine, 0.7 * Full, 674, 150) < 0.6 * 48);
+  CHECK(usedSlots(this->Engine, Full, 674, 150) == Approx(48).epsilon(0.01));
+  CHECK(usedSlots(this->Engine, 0.7 * Full, 674, 150) < 0.6 * 48);
   CHECK(Load(0.5 * Full) == Approx(0.5));
 }
 
@@ -106,7 +104,7 @@
                  "[unit]") {
   CHECK(this->loss(4, 4) < this->loss(5, 2));
   CHECK(this->loss(4, 4) < this->loss(3, 6));
-  // A model without any group costs more than a crowded one.
+  // A model without any group costs more than an overloaded one.
   CHECK(this->loss(8, 0) > this->loss(7, 1));
 }
 
@@ -115,7 +113,7 @@
                  "over all nodes, with usual answers",
                  "[unit]") {
   DemandTable Counted;
-  // Callers say 200 tokens, operators know 100.
+  // Callers declare 200 tokens per response, operators state 100.
   Counted["large"] = {100, 150000, 20000};
   DemandTable Rates = demandRates(this->Engine, Counted, 0.1);
   CHECK(Rates["large"].Requests == Approx(100));
@@ -123,7 +121,7 @@
   CHECK(Rates["small"].PromptTokens > 0);
   CHECK(Rates["small"].weightedTokens() <
         0.05 * Rates["large"].weightedTokens());
-  // Too few to go by.
+  // Too few requests for an estimate.
   Counted["large"].Requests = 3;
   CHECK(demandRates(this->Engine, Counted, 0.1)["small"].weightedTokens() > 0);
 }
@@ -141,18 +139,18 @@
   View.OtherGroupsInCentre = {{"large", 2}, {"small", 2}};
   View.CentreCount = 3;
   for (int I = 0; I < 4; ++I) {
-    auto Row = std::make_shared<TargetInfo>();
-    Row->Id = VmId("vm" + std::to_string(I));
-    Row->Staged = {"large", "small"};
-    View.Targets.push_back(Row);
+    auto Target = std::make_shared<TargetInfo>();
+    Target->Id = VmId("vm" + std::to_string(I));
+    Target->Staged = {"large", "small"};
+    View.Targets.push_back(Target);
   }
   auto Formed = [&] {
     DomainPlanner Planner;
     for (int Ms = 0; Ms < 2000; Ms += 100) {
       View.Now = at(Ms);
-      for (const GroupOrder &Row : Planner.step(View, this->Engine))
-        if (Row.Kind == OrderKind::Join && Row.Members.size() > 1)
-          return Row.Model;
+      for (const GroupOrder &Order : Planner.step(View, this->Engine))
+        if (Order.Kind == OrderKind::Join && Order.Members.size() > 1)
+          return Order.Model;
     }
     return std::string();
   };
--- a/tests/unit/urgency_test.cpp
+++ b/tests/unit/urgency_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Which request goes first at a target, and what the platform's headers say.
+// Urgency of requests at a target, and the platform's request headers.
 #include "platform/callers.h"
 #include "policy/urgency.h"
 
@@ -10,7 +10,7 @@
 
 namespace waycove::test {
 
-/// A route with an objective that a request can miss.
+/// A route with a latency goal that a request can miss.
 struct UrgencyFixture {
   UrgencyFixture() {
     this->Route.Timeout = Millis(6000);
