--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -39,7 +39,7 @@
       return this->Listed ? RenewInterval : UnlistedPollInterval;
     }
     Millis Duration =
-        std::max(LeaseDuration, this->Board.Config.Entry->LeaseLeast);
+        std::max(LeaseDuration, this->Board.Config.Entry->MinLease);
     this->Board.Counters.Calls.add(StoreUse::Shares, this->joinCause());
     absl::StatusOr<PartitionAssignment> Assignment =
         this->Partitioner.join(this->knownGeneration(), Duration);
@@ -59,7 +59,7 @@
     });
     this->OwnLease.renew(SentAt, Duration - LeaseMargin);
     this->updateAssignment(*Assignment, Duration);
-    return this->Board.Share > 0 ? RenewInterval : IdleRenewInterval;
+    return this->Board.PartitionShare > 0 ? RenewInterval : IdleRenewInterval;
   }
 
   /// Plans all owned domains once and sends the resulting orders.
@@ -125,7 +125,7 @@
     this->Listed = Nodes.contains(Config.Node);
     std::vector<NodeInfo> Order = readersOf(Nodes, Config.DataCentre);
     std::size_t MembersNeeded =
-        membersWanted(Config.Entry->WorkParts, centresOf(Nodes).size());
+        membersWanted(Config.Entry->PartitionCount, centresOf(Nodes).size());
     bool Holds = this->Assigned.read(
         [](const PartitionAssignment &Row) { return !Row.Partitions.empty(); });
     ShareRenewals Known = this->Board.Renewals.read(
@@ -148,7 +148,7 @@
   bool mayOrder(const PartitionAssignment &Assignment, TimePoint Now) const {
     StoreEra Listed = this->Board.Targets.read(
         [](const Fleet &Rows) { return Rows.Registry.Era; });
-    return this->OwnLease.holds(Now) && this->Board.RegistryFresh.holds(Now) &&
+    return this->OwnLease.holds(Now) && this->Board.RegistryLease.holds(Now) &&
            Assignment.Era == Listed && !this->OtherOwnersLease.holds(Now);
   }
 
@@ -157,7 +157,7 @@
       return CallCause::Retry;
     if (!this->Joined)
       return CallCause::Start;
-    return this->Board.Share > 0 ? CallCause::Duty : CallCause::Alone;
+    return this->Board.PartitionShare > 0 ? CallCause::Duty : CallCause::Alone;
   }
 
   std::vector<GroupOrder> planAll(const RoutingConfig &Config,
@@ -204,7 +204,7 @@
   /// Whether the registry was not read after \p Since. After a suspension of
   /// this machine time has passed without any update.
   bool isRegistryUnread(TimePoint Since) const {
-    return this->Board.RegistryProven.get() < Since;
+    return this->Board.RegistryProvenAt.get() < Since;
   }
 
   /// Demand counted by all nodes, or extrapolated from this one if no other
@@ -212,11 +212,11 @@
   DemandTable demandOf(const EngineSpec &Engine) const {
     auto Copy = [](const DemandTable &Rows) { return Rows; };
     DemandTable Counted = this->Board.Demand.read(Copy);
-    DemandTable Others = this->Board.DemandElsewhere.read(Copy);
+    DemandTable Others = this->Board.RemoteDemand.read(Copy);
     for (const auto &[Model, Added] : Others)
       Counted[Model].add(Added);
     return demandRates(Engine, Counted,
-                       Others.empty() ? this->Board.evenShare() : 1);
+                       Others.empty() ? this->Board.perNodeShare() : 1);
   }
 
   /// First epoch of this ownership: above every epoch that the domain's VMs
@@ -259,7 +259,7 @@
     bool NotDelivered = Order.Kind == OrderKind::Join && Unconfirmed;
     if ((NotDelivered || Outcome == OrderOutcome::ProcessEnded) &&
         this->OwnLease.holds(Now))
-      this->Prober.markUnreachable(Order.To->life(), Now);
+      this->Prober.markUnreachable(Order.To->incarnation(), Now);
   }
 
   void updateAssignment(const PartitionAssignment &Next, Millis Duration) {
@@ -270,9 +270,9 @@
       this->OtherOwnersLease.renew(SystemClock{}.now(), Duration);
     bool Changed =
         Before.fence() != Next.fence() || Before.Partitions != Next.Partitions;
-    this->Board.Share =
+    this->Board.PartitionShare =
         static_cast<double>(Next.Partitions.size()) /
-        static_cast<double>(this->Board.Config.Entry->WorkParts);
+        static_cast<double>(this->Board.Config.Entry->PartitionCount);
     if (!Changed)
       return;
     std::string Partitions;
--- a/src/control/news.cpp
+++ b/src/control/news.cpp
@@ -44,7 +44,7 @@
   if (!this->hasAllFeeds())
     return this->bootstrap(Nodes, Now);
   std::vector<NodeInfo> Before =
-      this->Route.nextToAsk(Nodes, this->Board.self(), Now);
+      this->Route.nextToAsk(Nodes, this->Board.nodeInfo(), Now);
   if (!this->queryUntilCurrent(Before)) {
     if (Before.empty() || !this->awaitsNewUpstream(SystemClock{}.now()))
       this->readStoreDirectly("no upstream node has current data");
@@ -60,8 +60,8 @@
 void NewsExchange::updateReadOrder(const NodeTable &Nodes) {
   std::vector<NodeInfo> Order = readersOf(Nodes, this->Board.Config.DataCentre);
   bool First = Order.empty() || Order.front().Node == this->Board.Config.Node;
-  this->Board.NodesKnown = Nodes.size();
-  this->Board.FirstOfCentre = First;
+  this->Board.KnownNodeCount = Nodes.size();
+  this->Board.FirstInCentre = First;
 }
 
 bool NewsExchange::hasAllFeeds() const {
@@ -75,25 +75,25 @@
 /// together do not each read everything from the store. The first node of each
 /// data centre queries two others once, and then reads the store.
 Millis NewsExchange::bootstrap(const NodeTable &Nodes, TimePoint Now) {
-  if (!this->Board.FillAwaited.holds(Now))
+  if (!this->Board.InitialFillLease.holds(Now))
     return RoundInterval;
   if (!Nodes.contains(this->Board.Config.Node))
     return BootstrapRoundInterval;
-  NodeInfo Me = this->Board.self();
+  NodeInfo Me = this->Board.nodeInfo();
   std::vector<NodeInfo> Candidates = this->Route.nextToAsk(Nodes, Me, Now);
-  bool First = this->Board.FirstOfCentre;
+  bool First = this->Board.FirstInCentre;
   if (First) {
     Candidates = this->Route.afterAll(Nodes, Me, Now);
     Candidates.resize(std::min(Candidates.size(), PeersPerRound));
   }
   for (const NodeInfo &Row : Candidates)
-    if (this->Board.FillAwaited.holds(SystemClock{}.now()) &&
+    if (this->Board.InitialFillLease.holds(SystemClock{}.now()) &&
         this->bootstrapFrom(Row)) {
-      this->Board.FillAwaited.drop();
+      this->Board.InitialFillLease.drop();
       return Millis(0);
     }
   if (First)
-    this->Board.FillAwaited.drop();
+    this->Board.InitialFillLease.drop();
   return BootstrapRoundInterval;
 }
 
@@ -104,7 +104,7 @@
     return false;
   this->applyNews(*News, Source.Node, SentAt);
   this->LastUpdateAt = SystemClock{}.now();
-  this->Board.Relayed = true;
+  this->Board.HasUpstream = true;
   return true;
 }
 
@@ -119,7 +119,7 @@
 /// of reading the store itself. Once what it knows is too old, StoreReader
 /// reads the store in any case.
 bool NewsExchange::awaitsNewUpstream(TimePoint Now) const {
-  return this->Board.Relayed &&
+  return this->Board.HasUpstream &&
          Now - this->LastUpdateAt < UpstreamSearchTimeout &&
          !this->isOutdated(Now);
 }
@@ -128,9 +128,10 @@
 /// its own reads fail.
 bool NewsExchange::isOutdated(TimePoint Now) const {
   for (FeedKind Kind : {FeedKind::Config, FeedKind::Registry}) {
-    Millis Most = *this->Board.mostAge(Kind);
-    if (this->Board.state(Kind).ReadFailed)
-      Most = EntryBoard::partOf(*this->Board.boundOf(Kind), PeersPart);
+    Millis Most = *this->Board.maxAge(Kind);
+    if (this->Board.feedState(Kind).ReadFailed)
+      Most =
+          EntryBoard::fractionOf(*this->Board.freshnessBound(Kind), PeersPart);
     if (Now - this->Board.feed(Kind).provenAt() >= Most)
       return true;
   }
@@ -138,14 +139,14 @@
 }
 
 bool NewsExchange::readsFail() const {
-  return this->Board.state(FeedKind::Config).ReadFailed ||
-         this->Board.state(FeedKind::Registry).ReadFailed;
+  return this->Board.feedState(FeedKind::Config).ReadFailed ||
+         this->Board.feedState(FeedKind::Registry).ReadFailed;
 }
 
 /// Queries other nodes in turn, with backoff, while this node can read neither
 /// the store nor an upstream node with current data. What it learns from them
-/// is not passed on (EntryBoard::mayTell): two nodes could confirm each other's
-/// old state.
+/// is not passed on (EntryBoard::canServeFeed): two nodes could confirm each
+/// other's old state.
 void NewsExchange::queryPeers(const NodeTable &Nodes, TimePoint Now) {
   this->UsesPeers = this->UsesPeers && this->readsFail();
   if (!this->UsesPeers && !this->isOutdated(Now)) {
@@ -155,7 +156,7 @@
   if (Now < this->PeersDue)
     return;
   std::vector<NodeInfo> Others =
-      this->Route.afterAll(Nodes, this->Board.self(), Now);
+      this->Route.afterAll(Nodes, this->Board.nodeInfo(), Now);
   std::size_t Count = std::min(Others.size(), PeersPerRound);
   for (std::size_t I = 0; I < Count; ++I, ++this->NextPeer)
     if (this->queryPeer(Others[this->NextPeer % Others.size()])) {
@@ -210,7 +211,7 @@
 
 /// Makes \p Chosen the upstream node.
 void NewsExchange::setUpstream(const NodeId &Chosen) {
-  if (this->Board.Relayed.exchange(true) && this->Upstream == Chosen)
+  if (this->Board.HasUpstream.exchange(true) && this->Upstream == Chosen)
     return;
   this->Board.Log.emit(EventCode::ReaderChosen, Chosen.Text,
                        LogFields().add("before", this->Upstream.Text));
@@ -228,14 +229,14 @@
     this->Board.Log.emit(
         EventCode::FeedReadAlone, this->Upstream.Text,
         LogFields().add("feed", I).add("offset", News.feeds[I]->next));
-    this->Board.Feeds[I].LeftOut = true;
+    this->Board.Feeds[I].RecordsOmitted = true;
     this->Board.Feeds[I].Cache.wake();
   }
 }
 
 /// Gives up the upstream node; this node reads the store itself.
 void NewsExchange::readStoreDirectly(const std::string &Reason) {
-  if (!this->Board.Relayed.exchange(false))
+  if (!this->Board.HasUpstream.exchange(false))
     return;
   this->Board.Log.emit(
       EventCode::ReaderLost, this->Upstream.Text,
@@ -274,8 +275,8 @@
   for (FeedKind Kind : {FeedKind::Config, FeedKind::Registry}) {
     const wire::FeedNewsT &Row = *News.feeds[static_cast<std::size_t>(Kind)];
     bool Current = Row.known && Millis(Row.proven_age_ms) <=
-                                    this->Board.mostAge(Kind).value();
-    if (!Current && !this->Board.state(Kind).ReadFailed)
+                                    this->Board.maxAge(Kind).value();
+    if (!Current && !this->Board.feedState(Kind).ReadFailed)
       return false;
     Any |= Current;
   }
@@ -292,7 +293,8 @@
       continue;
     this->MoreAvailable |= News.feeds[I]->partial;
     auto Kind = static_cast<FeedKind>(I);
-    if (absl::StatusOr<KeyedPage> Page = readFeed(*News.feeds[I], SentAt, Now);
+    if (absl::StatusOr<KeyedPage> Page =
+            unpackFeed(*News.feeds[I], SentAt, Now);
         Page.ok())
       applyFeedPage(this->Board, Kind, *Page, From.Text, Now);
     else
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -29,7 +29,7 @@
 public:
   RegistryFollower(EntryBoard &Board, Feed &Source, Decoder Decode)
       : Board(Board), Source(Source), Decode(std::move(Decode)),
-        Restored(Board.Config.Entry->TargetHeartbeat) {}
+        Restored(Board.Config.Entry->TargetHeartbeatInterval) {}
 
   /// Applies what is new; waits a while for it.
   void step() {
@@ -39,9 +39,9 @@
     TimePoint Now = SystemClock{}.now();
     this->updateEra(Page->Next.Era, Now);
     if (Now >= this->SettledAt)
-      this->Board.RegistryFresh.renew(Page->ProvenAt, FreshDuration);
+      this->Board.RegistryLease.renew(Page->ProvenAt, FreshDuration);
     this->apply(*Page, Now);
-    this->Board.RegistryProven.raise(Page->ProvenAt);
+    this->Board.RegistryProvenAt.raise(Page->ProvenAt);
     this->updateAge(SystemClock{}.now() - Page->ProvenAt);
   }
 
@@ -72,18 +72,18 @@
     this->IsFirstOfEra = this->HasApplied && Now > Before;
     if (!this->IsFirstOfEra)
       return;
-    this->SettledAt = At + FeedCache::LapseTime;
-    this->Board.RegistryFresh.drop();
+    this->SettledAt = At + FeedCache::RecoveryTimeout;
+    this->Board.RegistryLease.drop();
   }
 
   void apply(const KeyedPage &Page, TimePoint Now) {
     ParsedPage Read = this->parse(Page, Now);
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       this->addMissing(Read);
     for (TargetRef &Target : this->Restored.takeDue(Now))
       Read.Updated.push_back(std::move(Target));
     bool Changed = !Read.Updated.empty();
-    if (Now < Page.HoldUntil) {
+    if (Now < Page.RetainUntil) {
       Changed |= this->retain(std::exchange(Read.Dropped, {}), Page, Now);
     } else {
       Read.Dropped.merge(this->Retained);
@@ -111,8 +111,8 @@
         this->logRefused(Id, *Record.Value, messageOf(Read.status()));
         continue;
       }
-      this->StartTimesSeen |= Read->Born != WallMs();
-      if (Read->Born < this->newestStart(Id)) {
+      this->StartTimesSeen |= Read->StartedAt != WallMs();
+      if (Read->StartedAt < this->newestStart(Id)) {
         Out.Outdated.insert(Id);
         this->logRefused(Id, *Record.Value, "an earlier life's entry");
         continue;
@@ -126,7 +126,7 @@
       Out.Updated.push_back(
           std::make_shared<const TargetInfo>(std::move(*Read)));
     }
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       this->Restored.retainOnly(Out.Outdated);
     if (this->StartTimesSeen)
       this->refuseWithoutStart(Out);
@@ -161,7 +161,7 @@
   /// on which no target does are supported.
   void refuseWithoutStart(ParsedPage &Out) {
     std::erase_if(Out.Updated, [&](const TargetRef &Target) {
-      if (Target->Born != WallMs())
+      if (Target->StartedAt != WallMs())
         return false;
       Out.Refused.insert(Target->Id);
       this->logRefused(Target->Id, Target->Address.text(),
@@ -173,7 +173,7 @@
   void pruneRefused(const KeyedPage &Page, const ParsedPage &Read) {
     for (const TargetRef &Target : Read.Updated)
       this->RefusedValues.erase(Target->Id);
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       std::erase_if(this->RefusedValues, [&](const auto &Entry) {
         return !Read.Refused.contains(Entry.first) &&
                !Read.Outdated.contains(Entry.first);
@@ -196,10 +196,10 @@
   WallMs newestStart(const VmId &Id) const {
     return this->Board.Targets.read([&](const Fleet &Rows) {
       if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end())
-        return At->second->Born;
+        return At->second->StartedAt;
       auto Removed = Rows.Removed.find(Id);
       return Removed == Rows.Removed.end() ? WallMs()
-                                           : Removed->second.Last->Born;
+                                           : Removed->second.Last->StartedAt;
     });
   }
 
@@ -212,11 +212,11 @@
       if (!this->isListed(Id) || !this->Retained.insert(Id).second)
         continue;
       New = true;
-      this->Board.Log.emit(
-          EventCode::TargetKept, Id.Text,
-          LogFields()
-              .add("registry", Page.Next.At.Value)
-              .add("for_ms", std::chrono::ceil<Millis>(Page.HoldUntil - Now)));
+      this->Board.Log.emit(EventCode::TargetKept, Id.Text,
+                           LogFields()
+                               .add("registry", Page.Next.At.Value)
+                               .add("for_ms", std::chrono::ceil<Millis>(
+                                                  Page.RetainUntil - Now)));
     }
     return New;
   }
@@ -251,7 +251,7 @@
                     TimePoint Now) {
     std::vector<VmId> RemovedIds;
     std::vector<std::pair<TargetRef, TargetRef>> Restarted;
-    std::vector<VmLife> Regrouped;
+    std::vector<VmIncarnation> Regrouped;
     this->Board.Targets.write([&](Fleet &Rows) {
       ++Rows.Version;
       Rows.Registry = Registry;
@@ -261,10 +261,10 @@
       });
       for (const TargetRef &Target : Updated) {
         TargetRef &Last = Rows.Targets[Target->Id];
-        if (Last && Last->Born != Target->Born)
+        if (Last && Last->StartedAt != Target->StartedAt)
           Restarted.emplace_back(Last, Target);
         else if (Last && groupOf(*Last) != groupOf(*Target))
-          Regrouped.push_back(Target->life());
+          Regrouped.push_back(Target->incarnation());
         Last = Target;
         Rows.Removed.erase(Target->Id);
       }
@@ -275,22 +275,22 @@
           RemovedIds.push_back(Id);
         }
     });
-    this->Board.Vitals.write([&](VitalsTable &Rows) {
-      for (const VmLife &Target : Regrouped)
+    this->Board.TargetStats.write([&](VitalsTable &Rows) {
+      for (const VmIncarnation &Target : Regrouped)
         Rows.onRegrouped(Target);
     });
     rebuildServingView(this->Board);
     // All nodes find the same at their start, so only the first of each data
     // centre logs every target: the lines would delay requests elsewhere.
     bool IsFirst = !std::exchange(this->HasApplied, true);
-    if (!IsFirst || this->Board.FirstOfCentre)
+    if (!IsFirst || this->Board.FirstInCentre)
       for (const TargetRef &Target : Updated)
         this->logTarget(*Target, Registry);
     for (const auto &[Last, Target] : Restarted)
       this->Board.Log.emit(EventCode::TargetReborn, Target->Id.Text,
                            LogFields()
-                               .add("born", Target->Born.Value)
-                               .add("before", Last->Born.Value)
+                               .add("born", Target->StartedAt.Value)
+                               .add("before", Last->StartedAt.Value)
                                .add("registry", Registry.At.Value));
     for (const VmId &Id : RemovedIds)
       this->Board.Log.emit(EventCode::TargetGone, Id.Text,
@@ -307,7 +307,7 @@
         .add("address", Target.Address.text())
         .add("domain", Target.Domain.Text)
         .add("draining", Target.Draining)
-        .add("born", Target.Born.Value)
+        .add("born", Target.StartedAt.Value)
         .add("registry", Registry.At.Value);
     std::string Staged;
     for (const std::string &Model : Target.Staged)
--- a/src/control/restore_wait.h
+++ b/src/control/restore_wait.h
@@ -38,7 +38,7 @@
 
 private:
   /// Time for operators to write again after a restore.
-  static constexpr Millis RewriteTimeout = FeedCache::LapseTime;
+  static constexpr Millis RewriteTimeout = FeedCache::RecoveryTimeout;
 
   void begin(StoreEra NewEra, TimePoint Now) {
     // A node that started after the restore cannot tell when it happened, so it
--- a/src/control/shared_observations.cpp
+++ b/src/control/shared_observations.cpp
@@ -37,11 +37,11 @@
   NodeId From(Request.node);
   std::lock_guard Lock(this->Mutex);
   if (SameCentre) {
-    this->Loads.report(From, readLoads(Request.loads), Now);
-    this->Demand.report(From, readDemand(Request.demand), Now);
+    this->Loads.report(From, unpackLoads(Request.loads), Now);
+    this->Demand.report(From, unpackDemand(Request.demand), Now);
   } else {
-    this->Loads.reportCentre(From, readLoads(Request.loads), Now);
-    this->Demand.reportCentre(From, readDemand(Request.demand), Now);
+    this->Loads.reportCentre(From, unpackLoads(Request.loads), Now);
+    this->Demand.reportCentre(From, unpackDemand(Request.demand), Now);
   }
   Response.loads = packLoads(this->Loads.downward(Own, From, Now));
   Response.demand = packDemand(this->Demand.downward(OwnDemand, From, Now));
@@ -57,12 +57,12 @@
   std::erase_if(this->CrashesReceivedAt, [&](const auto &Row) {
     return Now - Row.second >= CrashBlame::ShareTime;
   });
-  this->Loads.tell(readLoads(Response.loads), Now);
-  this->Demand.tell(readDemand(Response.demand), Now);
+  this->Loads.tell(unpackLoads(Response.loads), Now);
+  this->Demand.tell(unpackDemand(Response.demand), Now);
 }
 
 LoadRows SharedObservations::ownLoads(TimePoint Now) const {
-  return this->Board.Vitals.read(
+  return this->Board.TargetStats.read(
       [&](const VitalsTable &Rows) { return Rows.loads(Now); });
 }
 
@@ -79,11 +79,11 @@
     Others = this->Loads.others(Now);
     OthersDemand = this->Demand.others(Now);
   }
-  this->Board.DemandElsewhere.write(
+  this->Board.RemoteDemand.write(
       [&](DemandTable &Rows) { Rows = std::move(OthersDemand); });
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
-  CentreLoads Centres = this->Board.Vitals.write([&](VitalsTable &Rows) {
+  CentreLoads Centres = this->Board.TargetStats.write([&](VitalsTable &Rows) {
     Rows.takeNews(std::move(Others), Now);
     return centreLoads(*View, Rows, this->Board.Config.DataCentre, Now);
   });
@@ -106,14 +106,14 @@
     const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows, TimePoint Now) {
   if (Rows.empty())
     return;
-  CrashRows Crashes = readCrashes(Rows);
+  CrashRows Crashes = unpackCrashes(Rows);
   this->Board.Crashes.write([&](CrashBlame &Into) { Into.take(Crashes, Now); });
 }
 
 void SharedObservations::updateBlame(TimePoint Now) {
   CrashBlame::Changes Found =
-      this->Board.Vitals.read([&](const VitalsTable &Seen) {
-        auto LastProgress = [&](const VmLife &Target) {
+      this->Board.TargetStats.read([&](const VitalsTable &Seen) {
+        auto LastProgress = [&](const VmIncarnation &Target) {
           return Seen.of(Target).LastProgress;
         };
         return this->Board.Crashes.write(
@@ -142,7 +142,7 @@
 void SharedObservations::applyRenewals(
     const std::vector<wire::RenewalRow> &Rows, TimePoint From) {
   this->Board.Renewals.write(
-      [&](ShareRenewals &Into) { waycove::takeRenewals(Rows, From, Into); });
+      [&](ShareRenewals &Into) { waycove::mergeRenewals(Rows, From, Into); });
 }
 
 } // namespace waycove
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -31,13 +31,13 @@
 
 } // namespace
 
-void RelayLog::suspectTarget(const VmLife &Target, Millis Time,
+void RelayLog::suspectTarget(const VmIncarnation &Target, Millis Time,
                              const std::string &Reason,
                              const RequestId &Because) {
   TimePoint Now = SystemClock{}.now();
-  bool New = this->Board.Vitals.write([&](VitalsTable &Vitals) {
-    bool Fresh = Vitals.of(Target).SuspectUntil <= Now;
-    Vitals.suspect(Target, Now, Time);
+  bool New = this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+    bool Fresh = TargetStats.of(Target).SuspectUntil <= Now;
+    TargetStats.suspect(Target, Now, Time);
     return Fresh;
   });
   if (!New)
@@ -65,7 +65,7 @@
                            AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
-  this->Board.Counters.observe(Timer::Whole,
+  this->Board.Counters.observe(Timer::WholeResponse,
                                SystemClock{}.now() - Ex.Request.ArrivedAt);
   if (End == AttemptEnd::Done)
     this->Board.Log.emit(
@@ -92,7 +92,7 @@
 
 void RelayLog::requestRefused(const RelayExchange &Ex,
                               const absl::Status &Why) {
-  const ErrorAnswer &Row = answerFor(kindOf(Why));
+  const ErrorResponse &Row = responseFor(kindOf(Why));
   this->Board.Counters.add(Counter::RequestsRefused);
   this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
                        fieldsOf(Ex)
--- a/src/entry/relay_log.h
+++ b/src/entry/relay_log.h
@@ -16,7 +16,7 @@
 
   /// Takes the target out of choice for \p Time, and tells of it where it is
   /// not out already.
-  void suspectTarget(const VmLife &Target, Millis Time,
+  void suspectTarget(const VmIncarnation &Target, Millis Time,
                      const std::string &Reason, const RequestId &Because);
   /// A send ended without a whole answer.
   void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -69,8 +69,8 @@
     }
     if (this->isSilentTooLong(Ex, Attempt, Now) &&
         this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
-      this->Log.suspectTarget(Attempt.To.Target->life(), SilentTime, Attempt.Reason,
-                        Ex.Request.Info.Id);
+      this->Log.suspectTarget(Attempt.To.Target->incarnation(), SilentTime,
+                              Attempt.Reason, Ex.Request.Info.Id);
       return AttemptEnd::Stalled;
     }
     // Look again in a while: others may show that the target stands still.
@@ -109,8 +109,8 @@
 bool ResponseWait::isSilentTooLong(const RelayExchange &Ex,
                                    RelayAttempt &Attempt, TimePoint Now) {
   const HttpRoute &Route = *Ex.Request.Route;
-  const VmLife Target = Attempt.To.Target->life();
-  Sight Seen = this->Board.Vitals.read([&](const VitalsTable &Rows) {
+  const VmIncarnation Target = Attempt.To.Target->incarnation();
+  Sight Seen = this->Board.TargetStats.read([&](const VitalsTable &Rows) {
     return Sight{Rows.standsStill(Target, Now), Rows.silence(Target, Now),
                  Rows.hasNews(Now) ? 0 : Rows.of(Target).FirstByteMs};
   });
--- a/src/policy/domain_plan.cpp
+++ b/src/policy/domain_plan.cpp
@@ -91,7 +91,7 @@
   if (WasHead)
     this->LeftGroups.insert(Order.Group);
   else
-    this->LeftMembers.insert({Order.Group, Order.To->life()});
+    this->LeftMembers.insert({Order.Group, Order.To->incarnation()});
 }
 
 /// Whether planning may begin: a group exists, or the number of listed targets
@@ -114,7 +114,7 @@
 /// Collects the announced groups and their members.
 void DomainPlanner::collect(Step &S) {
   for (const TargetRef &Target : S.View.Targets) {
-    if (!Target->Group || S.View.PresumedDead.contains(Target->life()))
+    if (!Target->Group || S.View.PresumedDead.contains(Target->incarnation()))
       continue;
     AnnouncedGroup &Group = S.Groups[Target->Group->Group];
     Group.Ranks[Target->Group->Rank] = Target;
@@ -129,7 +129,7 @@
 void DomainPlanner::addOrder(Step &S, OrderKind Kind, const TargetRef &To,
                              const GroupKey &Group, const std::string &Reason,
                              const std::string &Model) {
-  TimePoint &LastSent = this->LastOrderAt[{Group, Kind, To->life()}];
+  TimePoint &LastSent = this->LastOrderAt[{Group, Kind, To->incarnation()}];
   if (LastSent != TimePoint() && S.View.Now - LastSent < MinRepeatInterval)
     return;
   LastSent = S.View.Now;
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -57,7 +57,7 @@
   /// Targets that the registry removed recently.
   std::vector<RemovedTarget> Removed;
   /// Statuses of removed members that were queried.
-  std::map<VmLife, MemberStatus> Statuses;
+  std::map<VmIncarnation, MemberStatus> Statuses;
   /// Groups that serve now, by model, in all domains.
   std::map<std::string, unsigned> ServingGroups;
   /// Groups of the other domains, by model, as forecast by forecastDomains().
@@ -72,7 +72,7 @@
   GroupCounts EarlierTrades;
   /// Listed targets that do not respond while their group's head is stalled;
   /// treated as dead before the registry removes them.
-  std::set<VmLife> PresumedDead;
+  std::set<VmIncarnation> PresumedDead;
   /// New groups get epochs above this, which derives from the owner's fence.
   std::uint64_t EpochFloor = 0;
   /// Groups with epochs up to this were formed before this ownership began.
@@ -136,7 +136,7 @@
   /// that is not open yet.
   struct FormingGroup {
     std::string Model;
-    std::vector<VmLife> Members;
+    std::vector<VmIncarnation> Members;
     TimePoint Since;
     Millis Timeout{0};
   };
@@ -216,34 +216,35 @@
   /// Groups whose head has left.
   std::set<GroupKey> LeftGroups;
   /// Members of groups without a head that have left.
-  std::set<std::pair<GroupKey, VmLife>> LeftMembers;
+  std::set<std::pair<GroupKey, VmIncarnation>> LeftMembers;
   /// Groups that did not form in time or were preempted; never opened again.
   std::set<GroupKey> AbandonedGroups;
   /// When a member of the group was first seen draining.
   std::map<GroupKey, TimePoint> DrainingSince;
-  std::map<std::tuple<GroupKey, OrderKind, VmLife>, TimePoint> LastOrderAt;
+  std::map<std::tuple<GroupKey, OrderKind, VmIncarnation>, TimePoint>
+      LastOrderAt;
   /// When staging of a model was last ordered on a VM's host.
-  std::map<std::pair<VmLife, std::string>, TimePoint> StagingOrderedAt;
+  std::map<std::pair<VmIncarnation, std::string>, TimePoint> StagingOrderedAt;
   /// A load group: one VM that only loads weights.
   struct WarmUp {
-    VmLife Vm;
+    VmIncarnation Vm;
     TimePoint Since;
     /// Loads from the shared store rather than from the host.
     bool Cold = false;
   };
   std::map<GroupKey, WarmUp> WarmUps;
-  std::set<VmLife> WarmUpTried;
+  std::set<VmIncarnation> WarmUpTried;
   /// The model that a VM of a converted group has to load, and how long the VM
   /// is reserved for it.
   struct ModelReservation {
     std::string Model;
     TimePoint Until;
   };
-  std::map<VmLife, ModelReservation> Reservations;
+  std::map<VmIncarnation, ModelReservation> Reservations;
   /// When a group in any domain was last seen closing.
   TimePoint LastClosingAt;
   /// Since when each free VM has been free.
-  std::map<VmLife, TimePoint> FreeSince;
+  std::map<VmIncarnation, TimePoint> FreeSince;
   std::vector<RemovedTarget> StatusQueries;
   std::uint64_t LastEpoch = 0;
   std::size_t SeenTargetCount = 0;
--- a/src/policy/domain_review.cpp
+++ b/src/policy/domain_review.cpp
@@ -62,7 +62,7 @@
                                      const RemovedTarget &Target) {
   // Queried as long as it matters: a member that is unreachable now may die.
   this->StatusQueries.push_back(Target);
-  auto At = S.View.Statuses.find(Target.Last->life());
+  auto At = S.View.Statuses.find(Target.Last->incarnation());
   return At == S.View.Statuses.end() ? MemberStatus::Unknown : At->second;
 }
 
@@ -107,9 +107,9 @@
 void DomainPlanner::releaseMembers(Step &S, const GroupKey &Key,
                                    const AnnouncedGroup &Group) {
   for (const auto &[Rank, Vm] : Group.Ranks) {
-    if (this->LeftMembers.contains({Key, Vm->life()}))
+    if (this->LeftMembers.contains({Key, Vm->incarnation()}))
       continue;
-    S.Busy.insert(Vm->life());
+    S.Busy.insert(Vm->incarnation());
     this->addOrder(S, OrderKind::Leave, Vm, Key, "its head was lost");
   }
 }
@@ -137,7 +137,7 @@
     // Ordered by an earlier owner and still loading: adopt it.
     FormingGroup Adopted{Model->Name, {}, Now, formTimeout(Model->LoadTime)};
     for (const auto &[Rank, Vm] : Group.Ranks)
-      Adopted.Members.push_back(Vm->life());
+      Adopted.Members.push_back(Vm->incarnation());
     if (!Complete)
       Adopted.Timeout = OrderVisibilityTimeout;
     Own = this->FormingGroups.emplace(Key, std::move(Adopted)).first;
@@ -169,10 +169,10 @@
 void DomainPlanner::dropStaleForming(Step &S) {
   std::erase_if(this->FormingGroups, [&](const auto &Entry) {
     const auto &[Key, Forming] = Entry;
-    auto Listed = [&](const VmLife &Life) {
+    auto Listed = [&](const VmIncarnation &Life) {
       return std::any_of(S.View.Targets.begin(), S.View.Targets.end(),
                          [&](const TargetRef &T) {
-                           return T->life() == Life && S.isUsable(*T);
+                           return T->incarnation() == Life && S.isUsable(*T);
                          });
     };
     bool Late = !S.Groups.contains(Key) &&
@@ -182,7 +182,7 @@
       this->AbandonedGroups.insert(Key);
       return true;
     }
-    for (const VmLife &Life : Forming.Members)
+    for (const VmIncarnation &Life : Forming.Members)
       S.Busy.insert(Life);
     auto Shown = S.Groups.find(Key);
     if (Shown == S.Groups.end() || !Shown->second.AllReady ||
--- a/src/policy/domain_stage.cpp
+++ b/src/policy/domain_stage.cpp
@@ -52,7 +52,7 @@
   for (const auto &[Key, Load] : this->WarmUps) {
     auto At = std::find_if(S.View.Targets.begin(), S.View.Targets.end(),
                            [&, Life = Load.Vm](const TargetRef &Vm) {
-                             return Vm->life() == Life;
+                             return Vm->incarnation() == Life;
                            });
     if (At != S.View.Targets.end() && S.isUsable(**At))
       Loading.push_back(*At);
@@ -68,7 +68,7 @@
   if (this->isReservedForOther(Vm, Model))
     return std::nullopt;
   for (const auto &[Key, Load] : this->WarmUps)
-    if (Load.Vm == Vm.life())
+    if (Load.Vm == Vm.incarnation())
       return modelOf(Key.Name) == Model.Name ? std::optional(0) : std::nullopt;
   if (Vm.hasStaged(Model.Name) || Vm.hasLoaded(Model.Name))
     return 0;
@@ -227,7 +227,7 @@
                                const ModelSpec &Model, int MaxConcurrent) {
   if (!S.isUsable(*Vm) || Vm->hasStaged(Model.Name))
     return;
-  TimePoint &At = this->StagingOrderedAt[{Vm->life(), Model.Name}];
+  TimePoint &At = this->StagingOrderedAt[{Vm->incarnation(), Model.Name}];
   if (At != TimePoint() &&
       S.View.Now - At < Model.LoadTime * StagingRetryFactor)
     return;
--- a/src/policy/domain_step.cpp
+++ b/src/policy/domain_step.cpp
@@ -113,7 +113,8 @@
 }
 
 bool DomainPlanner::Step::isUsable(const TargetInfo &Target) const {
-  return !Target.Draining && !this->View.PresumedDead.contains(Target.life());
+  return !Target.Draining &&
+         !this->View.PresumedDead.contains(Target.incarnation());
 }
 
 bool DomainPlanner::Step::isShort(const ModelSpec &Model) const {
@@ -130,14 +131,14 @@
 std::vector<TargetRef> DomainPlanner::Step::freeVms() const {
   std::vector<TargetRef> Free;
   for (const TargetRef &Target : this->View.Targets)
-    if (this->isUsable(*Target) && !this->Busy.contains(Target->life()))
+    if (this->isUsable(*Target) && !this->Busy.contains(Target->incarnation()))
       Free.push_back(Target);
   return Free;
 }
 
 void DomainPlanner::Step::markBusy(const AnnouncedGroup &Group) {
   for (const auto &[Rank, Vm] : Group.Ranks)
-    this->Busy.insert(Vm->life());
+    this->Busy.insert(Vm->incarnation());
 }
 
 } // namespace waycove
--- a/src/policy/domain_step.h
+++ b/src/policy/domain_step.h
@@ -16,7 +16,7 @@
   const EngineSpec &Engine;
   std::map<GroupKey, AnnouncedGroup> Groups{};
   /// VMs that must not be used for new groups.
-  std::set<VmLife> Busy{};
+  std::set<VmIncarnation> Busy{};
   /// Groups of this domain per model that serve or are forming.
   std::map<std::string, unsigned> OwnCounts{};
   /// Target group counts from planGroupCounts().
--- a/src/policy/domain_warm.cpp
+++ b/src/policy/domain_warm.cpp
@@ -25,19 +25,19 @@
 /// Orders free VMs without a loaded model to load one that their hosts have
 /// staged. Tried once per VM.
 void DomainPlanner::warmUpReserves(Step &S) {
-  std::map<VmLife, TimePoint> Since;
+  std::map<VmIncarnation, TimePoint> Since;
   for (const TargetRef &Vm : S.freeVms()) {
-    auto Known = this->FreeSince.find(Vm->life());
-    Since[Vm->life()] =
+    auto Known = this->FreeSince.find(Vm->incarnation());
+    Since[Vm->incarnation()] =
         Known == this->FreeSince.end() ? S.View.Now : Known->second;
     if (!Vm->Loaded.empty() || Vm->Group ||
-        S.View.Now - Since[Vm->life()] < ReserveWait)
+        S.View.Now - Since[Vm->incarnation()] < ReserveWait)
       continue;
     auto Model = std::find_if(
         S.Engine.Models.begin(), S.Engine.Models.end(),
         [&](const ModelSpec &Each) { return Vm->hasStaged(Each.Name); });
     if (Model != S.Engine.Models.end() &&
-        this->WarmUpTried.insert(Vm->life()).second)
+        this->WarmUpTried.insert(Vm->incarnation()).second)
       this->joinLoadGroup(S, Vm, *Model, "warming up a reserve");
   }
   this->FreeSince = std::move(Since);
@@ -50,8 +50,8 @@
   GroupKey Key = this->nextGroupKey(S, Model);
   Key.Name = loadGroupName(Model.Name, S.View.Domain, Key.Epoch);
   bool Cold = !Vm->hasStaged(Model.Name) && !Vm->hasLoaded(Model.Name);
-  this->WarmUps[Key] = {Vm->life(), S.View.Now, Cold};
-  S.Busy.insert(Vm->life());
+  this->WarmUps[Key] = {Vm->incarnation(), S.View.Now, Cold};
+  S.Busy.insert(Vm->incarnation());
   S.Orders.push_back({OrderKind::Join, Vm, Key, Model.Name, {Vm->Id}, Reason});
 }
 
@@ -62,10 +62,11 @@
   if (!isLoadGroup(Key.Name) || !Group.Head)
     return false;
   const ModelSpec *Model = S.Engine.model(modelOf(Key.Name));
-  WarmUp &Load = this->WarmUps
-                     .try_emplace(Key, WarmUp{Group.Head->life(), S.View.Now,
-                                              isLoading(*Group.Head)})
-                     .first->second;
+  WarmUp &Load =
+      this->WarmUps
+          .try_emplace(Key, WarmUp{Group.Head->incarnation(), S.View.Now,
+                                   isLoading(*Group.Head)})
+          .first->second;
   Millis Timeout = !Model      ? Millis(0)
                    : Load.Cold ? formTimeout(Model->LoadTime)
                                : formTimeout(Model->StagedLoadTime);
--- a/tests/property/domain_plan_property.cpp
+++ b/tests/property/domain_plan_property.cpp
@@ -116,7 +116,7 @@
     return nullptr;
   }
 
-  VmLife incarnationOf(const SimulatedVm &Vm) const {
+  VmIncarnation incarnationOf(const SimulatedVm &Vm) const {
     return {Vm.Id, WallMs(Vm.Incarnation)};
   }
 
@@ -316,7 +316,7 @@
   TargetRef listed(const SimulatedVm &Vm) const {
     auto Info = std::make_shared<TargetInfo>();
     Info->Id = Vm.Id;
-    Info->Born = WallMs(Vm.Incarnation);
+    Info->StartedAt = WallMs(Vm.Incarnation);
     Info->Domain = DomainId("d");
     Info->Group = Vm.Group;
     Info->Staged = {"large", "small"};
@@ -372,7 +372,7 @@
       bool Responds = Vm && Vm->Group && Target.Last->Group &&
                       Vm->Group->Group == Target.Last->Group->Group;
       // A VM that the owner cannot reach either counts as dead.
-      VmLife Incarnation = Target.Last->life();
+      VmIncarnation Incarnation = Target.Last->incarnation();
       View.Statuses[Incarnation] =
           Responds && this->incarnationOf(*Vm) == Incarnation &&
                   !this->FalselyDead.contains(Incarnation)
@@ -415,7 +415,7 @@
   std::deque<std::vector<TargetRef>> Registry;
   std::map<VmId, TargetRef> LastShown;
   std::map<VmId, RemovedTarget> Removed;
-  std::set<VmLife> FalselyDead;
+  std::set<VmIncarnation> FalselyDead;
   std::vector<DelayedOrder> Delayed;
   std::set<std::pair<GroupKey, VmId>> ReadyOnce;
 };
--- a/tests/unit/config_follower_test.cpp
+++ b/tests/unit/config_follower_test.cpp
@@ -26,7 +26,7 @@
 
 constexpr Millis ShortBound(300);
 /// Longer than the time that operators have to write again.
-constexpr Millis LongBound = FeedCache::LapseTime + Millis(500);
+constexpr Millis LongBound = FeedCache::RecoveryTimeout + Millis(500);
 
 /// Parses a value that is a version number.
 struct VersionDecoder {
@@ -48,19 +48,19 @@
   static KeyedPage pageOf(std::uint64_t Version, std::uint64_t Next,
                           std::uint64_t Era) {
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(Next, Era);
     Page.Records = {{"config", std::to_string(Version)}};
-    Page.Versions.Shown = ValueVersion(Version);
+    Page.Versions.Current = ValueVersion(Version);
     Page.ProvenAt = SystemClock{}.now();
     return Page;
   }
   void show(std::uint64_t Version, std::uint64_t Next, std::uint64_t Era) {
-    this->cache().take(pageOf(Version, Next, Era), SystemClock{}.now());
+    this->cache().merge(pageOf(Version, Next, Era), SystemClock{}.now());
     this->Follower.step();
   }
   void receive(const EraMarks &Marks) {
-    this->cache().hear(Marks, SystemClock{}.now());
+    this->cache().mergeMarks(Marks, SystemClock{}.now());
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Config); }
   /// Version in force; zero if there is none.
@@ -69,7 +69,7 @@
         [](const RoutingConfigRef &Row) { return Row ? Row->Version : 0; });
   }
   bool keysProven() {
-    return this->Board.ConfigFresh.holds(SystemClock{}.now());
+    return this->Board.ConfigLease.holds(SystemClock{}.now());
   }
   void waitForExpiry() { std::this_thread::sleep_for(ShortBound); }
 
@@ -106,7 +106,7 @@
   this->waitForExpiry();
   this->show(19, 6, 1);
   CHECK_FALSE(this->keysProven());
-  std::this_thread::sleep_for(FeedCache::LapseTime);
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout);
   this->show(19, 6, 1);
   CHECK(this->keysProven());
   // The same version is written again after another restore that lost it.
@@ -141,10 +141,10 @@
   this->show(19, 7, 0);
   std::this_thread::sleep_for(LongBound);
   this->show(6, 3, 1);
-  std::this_thread::sleep_for(FeedCache::LapseTime);
+  std::this_thread::sleep_for(FeedCache::RecoveryTimeout);
   this->show(6, 3, 1);
   CHECK_FALSE(this->keysProven());
-  std::this_thread::sleep_for(LongBound - FeedCache::LapseTime);
+  std::this_thread::sleep_for(LongBound - FeedCache::RecoveryTimeout);
   this->show(6, 3, 1);
   CHECK(this->keysProven());
   CHECK(this->inForce() == 19);
@@ -160,9 +160,9 @@
     "its keys are proven at once",
     "[unit]") {
   KeyedPage Page = pageOf(22, 5, 1);
-  Page.Versions.Before = ValueVersion(19);
+  Page.Versions.Previous = ValueVersion(19);
   Page.Versions.Settled = true;
-  this->cache().take(Page, SystemClock{}.now());
+  this->cache().merge(Page, SystemClock{}.now());
   this->Follower.step();
   CHECK(this->keysProven());
 }
@@ -175,10 +175,10 @@
     "[unit]") {
   this->show(19, 6, 2);
   FeedCache Other;
-  Other.take(pageOf(18, 7, 1), SystemClock{}.now());
-  Other.take(pageOf(19, 8, 1), SystemClock{}.now());
-  Other.take(pageOf(19, 6, 2), SystemClock{}.now());
-  this->cache().hear(Other.marks(), SystemClock{}.now());
+  Other.merge(pageOf(18, 7, 1), SystemClock{}.now());
+  Other.merge(pageOf(19, 8, 1), SystemClock{}.now());
+  Other.merge(pageOf(19, 6, 2), SystemClock{}.now());
+  this->cache().mergeMarks(Other.marks(), SystemClock{}.now());
   this->Follower.step();
   CHECK_FALSE(this->keysProven());
 }
--- a/tests/unit/member_prober_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -107,7 +107,7 @@
                  "taken for dead at the first question, its new life not",
                  "[unit]") {
   auto Head = std::make_shared<TargetInfo>(*this->View.Targets[0]);
-  Head->Born = WallMs(100);
+  Head->StartedAt = WallMs(100);
   Head->Group =
       Membership{{groupName("m", DomainId("d"), 1), 1}, 0, MemberState::Open};
   this->View.Targets[0] = Head;
@@ -115,11 +115,12 @@
   this->Control.Restarted.insert(Head->Id);
   this->Prober.detectLost(this->View);
   REQUIRE(this->View.PresumedDead.empty());
-  this->Board.Vitals.write([&](VitalsTable &Rows) {
-    Rows.suspect(Head->life(), at(0), Millis(3000));
+  this->Board.TargetStats.write([&](VitalsTable &Rows) {
+    Rows.suspect(Head->incarnation(), at(0), Millis(3000));
   });
   this->Prober.detectLost(this->View);
-  CHECK(this->View.PresumedDead == std::set<VmLife>{Head->life()});
+  CHECK(this->View.PresumedDead ==
+        std::set<VmIncarnation>{Head->incarnation()});
   CHECK_FALSE(this->View.PresumedDead.contains({Head->Id, WallMs(200)}));
 }
 
--- a/tests/unit/store_reader_test.cpp
+++ b/tests/unit/store_reader_test.cpp
@@ -41,7 +41,7 @@
     if (this->hangs())
       return makeError(ErrorKind::OutcomeUnknown, "Timeout");
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(End, Era);
     Page.Records.push_back({"a", "newest"});
     return Page;
@@ -107,14 +107,14 @@
     FakeStore::reset();
     this->Reader.emplace(this->Board, FeedKind::Registry, &FakeStore::open);
     this->receive(7);
-    this->Board.Relayed = true;
+    this->Board.HasUpstream = true;
   }
   void receive(std::uint64_t Next) {
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(Next);
     Page.ProvenAt = SystemClock{}.now();
-    this->cache().take(Page, Page.ProvenAt);
+    this->cache().merge(Page, Page.ProvenAt);
   }
   FeedCache &cache() { return this->Board.feed(FeedKind::Registry); }
   /// Runs step() and watch() in their own threads for \p Time.
@@ -182,7 +182,7 @@
     "is read once",
     "[unit]") {
   FakeStore::End = 8;
-  this->Board.state(FeedKind::Registry).LeftOut = true;
+  this->Board.feedState(FeedKind::Registry).RecordsOmitted = true;
   this->Reader->step();
   CHECK(this->cache().next() == atOffset(8));
   CHECK(FakeStore::Newest == 1);
@@ -195,7 +195,7 @@
     "at once",
     "[unit]") {
   FakeStore::HangTime = Millis(1000);
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   CachedFeed Follower(this->cache());
   std::thread MainThread([&] { this->Reader->step(); });
   std::this_thread::sleep_for(Millis(50));
@@ -214,7 +214,7 @@
     "[unit]") {
   FakeStore::HangTime = Millis(1500);
   FakeStore::End = 8;
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   TimePoint Start = SystemClock{}.now();
   std::thread Known([&] {
     CachedFeed Follower(this->cache());
@@ -234,7 +234,7 @@
   this->receive(9);
   TimePoint Proven = this->cache().provenAt();
   FakeStore::End = 8;
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   this->Reader->step();
   CHECK(this->cache().next() == atOffset(9));
   CHECK(this->cache().provenAt() == Proven);
@@ -252,7 +252,7 @@
                  "store reader: the store came back from an older copy: all of "
                  "it is read, however far it goes",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   for (std::uint64_t End : {3, 7, 9}) {
     FakeStore::End = End;
     ++FakeStore::Era;
@@ -275,15 +275,15 @@
                  "store reader: the store came back from an older copy: keys "
                  "that it lacks may be written again for a while",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   ++FakeStore::Era;
   this->Reader->step();
   this->Reader->step();
   REQUIRE(this->cache().next()->Era == StoreEra(1));
-  Millis Remaining = std::chrono::ceil<Millis>(this->cache().whole().HoldUntil -
-                                               SystemClock{}.now());
-  CHECK(Remaining > FeedCache::LapseTime - Millis(500));
-  CHECK(Remaining <= FeedCache::LapseTime);
+  Millis Remaining = std::chrono::ceil<Millis>(
+      this->cache().snapshot().RetainUntil - SystemClock{}.now());
+  CHECK(Remaining > FeedCache::RecoveryTimeout - Millis(500));
+  CHECK(Remaining <= FeedCache::RecoveryTimeout);
 }
 
 // Guards against all nodes reading the whole feed at once after a restore.
@@ -291,18 +291,18 @@
                  "store reader: the store came back from an older copy, and a "
                  "neighbour reads it all: this node is told, and reads nothing",
                  "[unit]") {
-  this->Board.Relayed = false;
-  this->Board.FirstOfCentre = false;
-  this->Board.NodesKnown = 3;
+  this->Board.HasUpstream = false;
+  this->Board.FirstInCentre = false;
+  this->Board.KnownNodeCount = 3;
   FakeStore::End = 5;
   ++FakeStore::Era;
   std::thread Upstream([&] {
     std::this_thread::sleep_for(Millis(300));
     KeyedPage Page;
-    Page.Whole = true;
+    Page.IsSnapshot = true;
     Page.Next = atOffset(5, FakeStore::Era);
     Page.ProvenAt = SystemClock{}.now();
-    this->cache().take(Page, Page.ProvenAt);
+    this->cache().merge(Page, Page.ProvenAt);
   });
   this->run(Millis(500));
   Upstream.join();
@@ -319,9 +319,9 @@
                  "store reader: the store came back from an older copy, and no "
                  "neighbour tells: this node reads it all, once",
                  "[unit]") {
-  this->Board.Relayed = false;
-  this->Board.FirstOfCentre = false;
-  this->Board.NodesKnown = 3;
+  this->Board.HasUpstream = false;
+  this->Board.FirstInCentre = false;
+  this->Board.KnownNodeCount = 3;
   ++FakeStore::Era;
   TimePoint Start = SystemClock{}.now();
   this->run(Millis(1300));
@@ -334,7 +334,7 @@
                  "store reader: an answer from before the store came back: it "
                  "is not taken and proves nothing",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   FakeStore::Era = 2;
   FakeStore::End = 3;
   this->Reader->step();
@@ -352,13 +352,13 @@
                  "store reader: an answer brings records late in its wait: the "
                  "next wait is shorter",
                  "[unit]") {
-  this->Board.Relayed = false;
+  this->Board.HasUpstream = false;
   FakeStore::ResponseDelay = Millis(60);
   FakeStore::End = 8;
   this->Reader->step();
   Millis Pause = this->Reader->step();
   // The proof is as old as its request, so the next wait is 60 ms shorter.
-  Millis Interval = *this->Board.mostAge(FeedKind::Registry) - Millis(100);
+  Millis Interval = *this->Board.maxAge(FeedKind::Registry) - Millis(100);
   CHECK(FakeStore::LastWait <= Interval - Millis(60));
   CHECK(Pause > Millis(0));
 }
@@ -368,12 +368,13 @@
                  "others at once",
                  "[unit]") {
   // What it knows came from the upstream node; nothing changes meanwhile.
-  this->Board.Relayed = false;
-  REQUIRE_FALSE(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
+  this->Board.HasUpstream = false;
+  REQUIRE_FALSE(
+      this->Board.canServeFeed(FeedKind::Registry, SystemClock{}.now()));
   TimePoint Start = SystemClock{}.now();
   this->Reader->step();
   CHECK(SystemClock{}.now() - Start < Millis(50));
-  CHECK(this->Board.mayTell(FeedKind::Registry, SystemClock{}.now()));
+  CHECK(this->Board.canServeFeed(FeedKind::Registry, SystemClock{}.now()));
   // From then on it waits for changes.
   this->Reader->step();
   CHECK(FakeStore::LastWait > Millis(50));
@@ -406,10 +407,10 @@
   ConfigFollower<CachedFeed, OneVersion> Follower(this->Board, Feed, {});
   this->Reader->step();
   Follower.step();
-  REQUIRE(this->Board.ConfigFresh.holds(SystemClock{}.now()));
+  REQUIRE(this->Board.ConfigLease.holds(SystemClock{}.now()));
   for (int Reads = 0; Reads < 3; ++Reads) {
     this->Reader->step();
-    CHECK(this->Board.ConfigFresh.holds(SystemClock{}.now()));
+    CHECK(this->Board.ConfigLease.holds(SystemClock{}.now()));
     Follower.step();
   }
 }
