--- a/src/policy/domain_convert.cpp
+++ b/src/policy/domain_convert.cpp
@@ -7,7 +7,7 @@
 // other model's weights, each in a load group, and form groups of that model.
 //
 // All owners see the same registry and demand. Only the domain with the most
-// groups to release converts, and nobody does while a group is closing anywhere
+// groups to release converts, and none does while a group is closing anywhere
 // or was until recently, so that each decision accounts for the one before.
 
 #include "policy/domain_step.h"
@@ -19,7 +19,7 @@
 namespace {
 
 /// Minimum reduction of the loss, as a fraction, for a conversion. High, since
-/// converted VMs serve nobody while they load, and so that ordinary
+/// converted VMs do not serve while they load, and so that ordinary
 /// fluctuations of the demand do not cause conversions.
 constexpr double MinConversionGain = 0.5;
 /// A model gets VMs of another one only if its groups have at least this load.
@@ -42,15 +42,16 @@
 /// or took too long.
 void DomainPlanner::expireReservations(const Step &S) {
   std::erase_if(this->Reservations, [&](const auto &Entry) {
-    const auto &[Life, Reserved] = Entry;
+    const auto &[Incarnation, Reserved] = Entry;
     if (S.View.Now > Reserved.Until)
       return true;
-    return std::none_of(
-        S.View.Targets.begin(), S.View.Targets.end(),
-        [&, Life = Life, &Reserved = Reserved](const TargetRef &Vm) {
-          return Vm->incarnation() == Life && S.isUsable(*Vm) &&
-                 !Vm->hasLoaded(Reserved.Model);
-        });
+    return std::none_of(S.View.Targets.begin(), S.View.Targets.end(),
+                        [&, Incarnation = Incarnation,
+                         &Reserved = Reserved](const TargetRef &Vm) {
+                          return Vm->incarnation() == Incarnation &&
+                                 S.isUsable(*Vm) &&
+                                 !Vm->hasLoaded(Reserved.Model);
+                        });
   });
 }
 
--- a/src/policy/domain_form.cpp
+++ b/src/policy/domain_form.cpp
@@ -22,8 +22,8 @@
 
 /// Counts the VMs of \p Free that can serve \p Model without losing the weights
 /// of another model.
-std::size_t countOwn(const std::vector<TargetRef> &Free,
-                     const ModelSpec &Model) {
+std::size_t countCompatible(const std::vector<TargetRef> &Free,
+                            const ModelSpec &Model) {
   return static_cast<std::size_t>(
       std::count_if(Free.begin(), Free.end(), [&](const TargetRef &Vm) {
         return Vm->hasLoaded(Model.Name) ||
@@ -75,13 +75,13 @@
   const ModelSpec *Best = nullptr;
   for (const ModelSpec *Model : modelsLargestFirst(S.Engine)) {
     std::vector<TargetRef> Free = this->freeVmsFor(S, *Model);
-    bool Forms = Free.size() >= Model->GroupSize &&
-                 (countWarm(Free, *Model) >= Model->GroupSize ||
-                  !S.loadsBeforeForming());
+    bool CanForm = Free.size() >= Model->GroupSize &&
+                   (countWarm(Free, *Model) >= Model->GroupSize ||
+                    !S.loadsBeforeForming());
     double Gain = S.gainOf(*Model, Now);
-    bool Converts = countOwn(Free, *Model) < Model->GroupSize;
-    if (!Forms || Gain <= BestGain ||
-        (Converts && Gain < MinGain * S.lossOf(Now)))
+    bool ReplacesWeights = countCompatible(Free, *Model) < Model->GroupSize;
+    if (!CanForm || Gain <= BestGain ||
+        (ReplacesWeights && Gain < MinGain * S.lossOf(Now)))
       continue;
     BestGain = Gain;
     Best = Model;
@@ -174,12 +174,12 @@
     if (!Group.Head || !Other || Other->GroupSize >= Model.GroupSize ||
         this->LeftGroups.contains(Key))
       continue;
-    auto Helps = static_cast<std::size_t>(std::count_if(
+    auto WarmMembers = static_cast<std::size_t>(std::count_if(
         Group.Ranks.begin(), Group.Ranks.end(), [&](const auto &Member) {
           return S.isUsable(*Member.second) &&
                  Member.second->hasStaged(Model.Name);
         }));
-    if (Warm + Helps < Model.GroupSize)
+    if (Warm + WarmMembers < Model.GroupSize)
       continue;
     MemberState State = Group.Head->Group->State;
     if (State == MemberState::Closing && this->AbandonedGroups.contains(Key))
--- a/src/policy/domain_review.cpp
+++ b/src/policy/domain_review.cpp
@@ -169,10 +169,11 @@
 void DomainPlanner::dropStaleForming(Step &S) {
   std::erase_if(this->FormingGroups, [&](const auto &Entry) {
     const auto &[Key, Forming] = Entry;
-    auto Listed = [&](const VmIncarnation &Life) {
+    auto Listed = [&](const VmIncarnation &Incarnation) {
       return std::any_of(S.View.Targets.begin(), S.View.Targets.end(),
-                         [&](const TargetRef &T) {
-                           return T->incarnation() == Life && S.isUsable(*T);
+                         [&](const TargetRef &Target) {
+                           return Target->incarnation() == Incarnation &&
+                                  S.isUsable(*Target);
                          });
     };
     bool Late = !S.Groups.contains(Key) &&
@@ -182,8 +183,8 @@
       this->AbandonedGroups.insert(Key);
       return true;
     }
-    for (const VmIncarnation &Life : Forming.Members)
-      S.Busy.insert(Life);
+    for (const VmIncarnation &Incarnation : Forming.Members)
+      S.Busy.insert(Incarnation);
     auto Shown = S.Groups.find(Key);
     if (Shown == S.Groups.end() || !Shown->second.AllReady ||
         Shown->second.Ranks.size() != Forming.Members.size())
--- a/src/policy/domain_stage.cpp
+++ b/src/policy/domain_stage.cpp
@@ -51,8 +51,8 @@
   std::vector<TargetRef> Loading;
   for (const auto &[Key, Load] : this->WarmUps) {
     auto At = std::find_if(S.View.Targets.begin(), S.View.Targets.end(),
-                           [&, Life = Load.Vm](const TargetRef &Vm) {
-                             return Vm->incarnation() == Life;
+                           [&, Incarnation = Load.Vm](const TargetRef &Vm) {
+                             return Vm->incarnation() == Incarnation;
                            });
     if (At != S.View.Targets.end() && S.isUsable(**At))
       Loading.push_back(*At);
--- a/src/policy/domain_warm.cpp
+++ b/src/policy/domain_warm.cpp
@@ -18,7 +18,7 @@
 
 /// A VM has to be free for this time before it loads alone: the VMs of a
 /// returning domain are listed one after the other and may form a group first.
-constexpr Millis ReserveWait{700};
+constexpr Millis WarmUpDelay{700};
 
 } // namespace
 
@@ -31,7 +31,7 @@
     Since[Vm->incarnation()] =
         Known == this->FreeSince.end() ? S.View.Now : Known->second;
     if (!Vm->Loaded.empty() || Vm->Group ||
-        S.View.Now - Since[Vm->incarnation()] < ReserveWait)
+        S.View.Now - Since[Vm->incarnation()] < WarmUpDelay)
       continue;
     auto Model = std::find_if(
         S.Engine.Models.begin(), S.Engine.Models.end(),
--- a/src/policy/group_load.cpp
+++ b/src/policy/group_load.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double MillisPerSecond = 1000;
-/// Number of groups assumed for a model without any, which keeps the loss
-/// finite.
-constexpr double GroupsWhenNone = 0.2;
+/// Lower bound of the number of groups, which keeps the loss of a model without
+/// any finite.
+constexpr double MinGroupCount = 0.2;
 /// Exponent of the load in the loss. High, since responses become late
 /// abruptly.
 constexpr double LossExponent = 10;
@@ -40,7 +40,7 @@
 
 double groupLoad(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups) {
-  double Count = std::max(Groups, GroupsWhenNone);
+  double Count = std::max(Groups, MinGroupCount);
   if (!statesSpeed(Engine))
     return Demand.weightedTokens() * Model.TimeFactor / Count;
   return Model.TimeFactor *
--- a/src/policy/load_schedule.cpp
+++ b/src/policy/load_schedule.cpp
@@ -15,17 +15,17 @@
 /// The VMs of a domain that are in no group or in a load group.
 struct IdleVms {
   /// Number of VMs that have or load the weights, by model.
-  std::map<std::string, std::size_t> Have;
-  std::size_t Vms = 0;
+  std::map<std::string, std::size_t> CountByModel;
+  std::size_t Count = 0;
   /// VMs without any weights.
-  std::size_t Empty = 0;
+  std::size_t WithoutWeights = 0;
 };
 
 /// State of all VMs of the service.
 struct ServiceState {
   std::map<DomainId, IdleVms> Domains;
   /// Models that an open group serves.
-  std::set<std::string> Served;
+  std::set<std::string> ServedModels;
   /// VMs that are loading from the shared store.
   std::size_t Loading = 0;
 };
@@ -41,23 +41,24 @@
     State.Loading += isLoading(*Target) ? 1 : 0;
     if (Target->Group && Target->Group->Rank == 0 &&
         Target->Group->State == MemberState::Open)
-      State.Served.insert(modelOf(Target->Group->Group.Name));
+      State.ServedModels.insert(modelOf(Target->Group->Group.Name));
     IdleVms &Idle = State.Domains[Target->Domain];
     if (Target->Draining)
       continue;
     if (Target->Group && isLoadGroup(Target->Group->Group.Name)) {
-      ++Idle.Vms;
-      ++Idle.Have[modelOf(Target->Group->Group.Name)];
+      ++Idle.Count;
+      ++Idle.CountByModel[modelOf(Target->Group->Group.Name)];
       continue;
     }
     // Members of a group whose head left or died will soon be free.
     if (Target->Group && Heads.contains(Target->Group->Group))
       continue;
-    ++Idle.Vms;
-    Idle.Empty += Target->Staged.empty() && Target->Loaded.empty() ? 1 : 0;
+    ++Idle.Count;
+    Idle.WithoutWeights +=
+        Target->Staged.empty() && Target->Loaded.empty() ? 1 : 0;
     for (const ModelSpec &Model : Engine.Models)
       if (Target->hasStaged(Model.Name) || Target->hasLoaded(Model.Name))
-        ++Idle.Have[Model.Name];
+        ++Idle.CountByModel[Model.Name];
   }
   return State;
 }
@@ -81,15 +82,15 @@
                     const EngineSpec &Engine) {
   NextGroup Best;
   for (const ModelSpec &Model : Engine.Models) {
-    auto At = Idle.Have.find(Model.Name);
-    std::size_t Has = At == Idle.Have.end() ? 0 : At->second;
+    auto At = Idle.CountByModel.find(Model.Name);
+    std::size_t Has = At == Idle.CountByModel.end() ? 0 : At->second;
     // The group forms without loads; the other VMs are considered after that.
     if (Has >= Model.GroupSize)
       return {};
-    if (Idle.Vms < Model.GroupSize)
+    if (Idle.Count < Model.GroupSize)
       continue;
     NextGroup Next;
-    Next.Unserved = !State.Served.contains(Model.Name);
+    Next.Unserved = !State.ServedModels.contains(Model.Name);
     Next.MissingLoads = Model.GroupSize - Has;
     Next.VmsPerLoadSecond =
         Model.GroupSize /
@@ -113,12 +114,13 @@
 LoadSchedule scheduleLoads(const std::vector<TargetRef> &Targets,
                            const EngineSpec &Engine) {
   ServiceState State = surveyTargets(Targets, Engine);
-  std::size_t Free = Engine.LoadsAtOnce -
-                     std::min<std::size_t>(Engine.LoadsAtOnce, State.Loading);
+  std::size_t Available =
+      Engine.LoadsAtOnce -
+      std::min<std::size_t>(Engine.LoadsAtOnce, State.Loading);
   LoadSchedule Schedule;
   auto Grant = [&](const DomainId &Domain, std::size_t Wanted) {
-    std::size_t Granted = std::min(Wanted, Free);
-    Free -= Granted;
+    std::size_t Granted = std::min(Wanted, Available);
+    Available -= Granted;
     if (Granted > 0)
       Schedule.ByDomain[Domain] += static_cast<unsigned>(Granted);
   };
@@ -138,10 +140,10 @@
   for (const auto &[Domain, Idle] : State.Domains) {
     auto Granted = Schedule.ByDomain.find(Domain);
     std::size_t Has = Granted == Schedule.ByDomain.end() ? 0 : Granted->second;
-    Grant(Domain,
-          Idle.Empty - std::min(Idle.Empty, Has) + (NoOtherLoads ? 1 : 0));
+    Grant(Domain, Idle.WithoutWeights - std::min(Idle.WithoutWeights, Has) +
+                      (NoOtherLoads ? 1 : 0));
   }
-  Schedule.SpareLoads = static_cast<unsigned>(Free);
+  Schedule.SpareLoads = static_cast<unsigned>(Available);
   return Schedule;
 }
 
--- a/tests/property/domain_plan_property.cpp
+++ b/tests/property/domain_plan_property.cpp
@@ -138,7 +138,7 @@
     Vm = Restarted;
     this->Trace.push_back(
         std::to_string(this->Now.time_since_epoch() / Millis(1)) + " " +
-        Vm.Id.Text + " restarts\n");
+        Vm.Id.Text + " starts again\n");
   }
 
   void disturb() {
--- a/tools/without.py
+++ b/tools/without.py
@@ -18,7 +18,7 @@
         "planner: lost, late"),
     "members-leave": (
         "src/policy/domain_review.cpp",
-        "if (this->LeftMembers.contains({Key, Vm->life()}))", "if (true)",
+        "if (this->LeftMembers.contains({Key, Vm->incarnation()}))", "if (true)",
         "planner: lost, late"),
     "earlier-owner": (
         "src/policy/domain_review.cpp",
