--- a/tests/contract/platform_contract.cpp
+++ b/tests/contract/platform_contract.cpp
@@ -95,13 +95,13 @@
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"v-1","state":"leaving"})"});
   auto Leaving = List.list(DataCentreId("a"), Page->Version);
-  REQUIRE(Leaving->Rows.size() == 1);
-  CHECK(Leaving->Rows[0].ListedLeaving);
+  REQUIRE(Leaving->Vms.size() == 1);
+  CHECK(Leaving->Vms[0].ListedLeaving);
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"v-1","state":"gone"})"});
   auto Gone = List.list(DataCentreId("a"), Leaving->Version);
-  CHECK(Gone->Rows.empty());
-  CHECK(Gone->Gone == std::vector<VmId>{VmId("v-1")});
+  CHECK(Gone->Vms.empty());
+  CHECK(Gone->Removed == std::vector<VmId>{VmId("v-1")});
   this->Run.platformFault(R"({"list":"refuse"})");
   CHECK_FALSE(List.list(DataCentreId("a"), 0).ok());
 }
