--- a/tests/contract/platform_contract.cpp
+++ b/tests/contract/platform_contract.cpp
@@ -87,21 +87,21 @@
   auto Page = List.list(DataCentreId("a"), 0);
   REQUIRE(Page.ok());
   CHECK(Page->Whole);
-  REQUIRE(Page->Rows.size() == 2);
-  CHECK(Page->Rows[0].Domain == DomainId("d"));
-  CHECK(*Page->Rows[0].OwnLabels.find("role") == "engine");
-  CHECK(List.list(DataCentreId("a"), Page->Version)->Rows.empty());
-  CHECK(List.list(DataCentreId("elsewhere"), 0)->Rows.empty());
+  REQUIRE(Page->Vms.size() == 2);
+  CHECK(Page->Vms[0].Domain == DomainId("d"));
+  CHECK(*Page->Vms[0].OwnLabels.find("role") == "engine");
+  CHECK(List.list(DataCentreId("a"), Page->Version)->Vms.empty());
+  CHECK(List.list(DataCentreId("elsewhere"), 0)->Vms.empty());
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"v-1","state":"leaving"})"});
   auto Leaving = List.list(DataCentreId("a"), Page->Version);
-  REQUIRE(Leaving->Rows.size() == 1);
-  CHECK(Leaving->Rows[0].ListedLeaving);
+  REQUIRE(Leaving->Vms.size() == 1);
+  CHECK(Leaving->Vms[0].ListedLeaving);
   this->Run.atPlatform(
       {"POST", "/vms/state", R"({"vm":"v-1","state":"gone"})"});
   auto Gone = List.list(DataCentreId("a"), Leaving->Version);
-  CHECK(Gone->Rows.empty());
-  CHECK(Gone->Gone == std::vector<VmId>{VmId("v-1")});
+  CHECK(Gone->Vms.empty());
+  CHECK(Gone->Removed == std::vector<VmId>{VmId("v-1")});
   this->Run.platformFault(R"({"list":"refuse"})");
   CHECK_FALSE(List.list(DataCentreId("a"), 0).ok());
 }
