--- a/src/control/cached_feed.h
+++ b/src/control/cached_feed.h
@@ -15,7 +15,8 @@
 public:
   explicit CachedFeed(FeedCache &Cache) : Cache(Cache) {}
 
-  /// Waits a while for a first page. Error NotFound: nothing is known yet.
+  /// Waits for a first page for up to InitialTimeout. Error NotFound: nothing
+  /// is known yet.
   absl::StatusOr<KeyedPage> newest() {
     this->Cache.wait(StorePosition(), TimePoint(),
                      SystemClock{}.now() + InitialTimeout);
--- a/src/control/config_follower.h
+++ b/src/control/config_follower.h
@@ -19,7 +19,7 @@
       : Board(Board), Source(Source), Decode(std::move(Decode)),
         Restore(Board.Config.Entry->RevokeBound) {}
 
-  /// Applies what is new; waits a while for it.
+  /// Applies what is new; waits for it for up to pollTimeout().
   void step() {
     absl::StatusOr<KeyedPage> Page = this->Source.read(this->pollTimeout());
     if (Page.ok())
@@ -61,8 +61,9 @@
   }
 
   /// Handles the loss of the newest version by a restore of the store. A node
-  /// that started since then found an older version: none is in force, and
-  /// nothing is served, until operators have written again.
+  /// without that version has none in force, and serves nothing, until
+  /// operators have written again. A node that has it keeps it in force;
+  /// RestoreWait decides when it counts as current again.
   void updateLost(const VersionMarks &Versions) {
     bool IsLost = Versions.isLost();
     this->MinVersion = IsLost ? Versions.Previous.Value : 0;
--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -11,10 +11,11 @@
 
 namespace waycove {
 
-/// Owns the fabric domains that the platform assigns to this node and plans
-/// their groups. Orders are sent only while the lease holds by the local clock.
-/// They carry the fence of the assignment, so that targets refuse late ones;
-/// epochs are the fence followed by a counter.
+/// Owns the fabric domains that the platform assigns to this node, an entry on
+/// the platform, and plans their groups; the daemon with waycove's own
+/// interface has GroupController instead. Orders are sent only while the lease
+/// holds by the local clock. They carry the fence of the assignment, so that
+/// targets refuse late ones; epochs are the fence followed by a counter.
 ///
 /// A store restored from an older copy may assign a domain whose previous owner
 /// still holds its lease, so nothing is ordered for one lease duration after a
@@ -25,7 +26,8 @@
       : Board(Board), Partitioner(Partitioner), Prober(Board, Targets),
         Sender(Board, Targets), Budget(Board) {}
 
-  /// Renews the lease; returns the pause before the next renewal.
+  /// Renews the lease, or releases the domains if this node stops or is not
+  /// needed; returns the pause before the next call.
   Millis renewLease() {
     if (this->Board.Stopping) {
       if (this->Joined.exchange(false))
@@ -93,7 +95,8 @@
 private:
   /// Low bits of an epoch that hold the counter below the fence.
   static constexpr unsigned EpochCounterBits = 20;
-  /// More epochs than a process can use before the registry shows one of them.
+  /// Upper bound on the epochs that an earlier incarnation of this process used
+  /// and that the registry does not show.
   static constexpr std::uint64_t UnseenEpochs = 1024;
   /// Domains of a failed owner stay without one for at most this long.
   static constexpr Millis LeaseDuration{2000};
@@ -135,8 +138,9 @@
   }
 
   /// The generation to report to the store; zero if it is of an earlier era.
-  /// The store takes it as a confirmation that this node has released what was
-  /// assigned to others up to that generation.
+  /// With it this node confirms to the store that it has released the
+  /// partitions that were assigned to other nodes in this or an earlier
+  /// generation.
   std::uint64_t knownGeneration() const {
     PartitionAssignment Assignment =
         this->Assigned.read([](const PartitionAssignment &Row) { return Row; });
--- a/src/control/group_control.h
+++ b/src/control/group_control.h
@@ -35,9 +35,10 @@
   Unresponsive,
 };
 
-/// Sends orders and queries to targets. queryStatus() returns the status of a
-/// member whose registry entry was removed, probe() whether a listed target can
-/// be reached.
+/// Sends orders and queries of an entry on the platform to targets; the daemon
+/// with waycove's own interface uses EngineControl instead. queryStatus()
+/// returns the status of a member whose registry entry was removed, probe()
+/// whether a listed target can be reached.
 template <typename C>
 concept GroupControl = requires(C &Control, const GroupOrder &Order,
                                 std::uint64_t Fence, const TargetInfo &Target) {
--- a/src/control/load_budget.h
+++ b/src/control/load_budget.h
@@ -11,15 +11,16 @@
 
 /// Limits the rate at which this node's domains begin to load weights from the
 /// shared store: its part of the platform's limit over all nodes. How many
-/// loads run at once is limited by scheduleLoads(). Used by one thread.
+/// weight loads run at once is limited by scheduleLoads(). Used by one thread.
 class LoadBudget {
 public:
   explicit LoadBudget(const EntryBoard &Board) : Board(Board) {}
 
-  /// How many of \p Scheduled loads may begin now; UnlimitedLoads before the
-  /// first request of a first start.
+  /// How many of \p Scheduled weight loads may begin now. UnlimitedLoads if the
+  /// whole system starts for the first time (EntrySettings::FirstStart) and
+  /// this node has not received a request yet.
   unsigned allowed(unsigned Scheduled, const EngineSpec &Engine, TimePoint Now);
-  /// Records the load that \p Order causes, if any.
+  /// Records the weight load that \p Order causes, if any.
   void recordOrder(const GroupOrder &Order, const EngineSpec &Engine,
                    TimePoint Now);
 
--- a/src/control/member_prober.h
+++ b/src/control/member_prober.h
@@ -46,9 +46,9 @@
   /// Probes the members of groups whose head is stalled, and heads that any
   /// node suspects for another reason: a head that restarted while cut off from
   /// the registry refuses requests at once and never stalls. Adds members that
-  /// repeatedly do not respond, or have restarted, to View.Lost. A member that
-  /// is used again is told to leave first, so a wrong guess costs a repair but
-  /// is safe.
+  /// repeatedly do not respond, or have restarted, and those passed to
+  /// markUnreachable() to View.PresumedDead. A member that is used again is
+  /// told to leave first, so a wrong guess costs a repair but is safe.
   void detectLost(DomainView &View) {
     std::erase_if(this->Suspects, [&](const auto &Entry) {
       return View.Now - Entry.second.At > LostRetention;
--- a/src/control/node_follower.h
+++ b/src/control/node_follower.h
@@ -13,10 +13,11 @@
 
 namespace waycove {
 
-/// Announces this node in the platform's directory and follows the
-/// announcements of others. A node that is killed stays listed until it
-/// restarts, and is then not announced again; nodes that query it notice. Used
-/// by one thread.
+/// Announces this node in the platform's directory, removes the announcement in
+/// a planned stop, and follows the announcements of others. A node that is
+/// killed stays listed; nodes that request updates from it notice that it does
+/// not respond. When it restarts at the same address, the announcement of its
+/// earlier incarnation stays in use. Used by one thread.
 template <KeyedFeed Feed, NodeDirectory Directory> class NodeFollower {
 public:
   NodeFollower(EntryBoard &Board, Feed &Source, Directory &Announcements)
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -15,8 +15,8 @@
 
 /// Follows the platform's registry of targets. \p Decode parses an entry.
 ///
-/// Entries that vanished while the store was away are retained until the hold
-/// time of the page ends; they may have lapsed or left, so requests go there
+/// Entries that vanished while the store was unavailable are retained until
+/// KeyedPage::RetainUntil; they may have lapsed or left, so requests go there
 /// only if no listed target serves. A late entry of an earlier incarnation is
 /// ignored. An entry that cannot be parsed removes the target of its key and
 /// does not affect others.
@@ -31,7 +31,7 @@
       : Board(Board), Source(Source), Decode(std::move(Decode)),
         Restored(Board.Config.Entry->TargetHeartbeatInterval) {}
 
-  /// Applies what is new; waits a while for it.
+  /// Applies what is new; waits for it for up to PollTimeout.
   void step() {
     absl::StatusOr<KeyedPage> Page = this->Source.read(PollTimeout);
     if (!Page.ok())
@@ -49,8 +49,7 @@
   /// Interval at which retained entries and the age of the registry are checked
   /// when there are no changes.
   static constexpr Millis PollTimeout{300};
-  /// Groups are planned while the last proof is younger than this; leaves a
-  /// second for a slow store.
+  /// Groups are planned only while the last proof is younger than this.
   static constexpr Millis FreshDuration{3000};
   /// How long a removed target is remembered, so that the owner of its group
   /// can query it.
@@ -203,8 +202,8 @@
     });
   }
 
-  /// Retains targets whose entries vanished until the hold time ends; returns
-  /// whether there is a new one.
+  /// Retains targets whose entries vanished until KeyedPage::RetainUntil;
+  /// returns whether there is a new one.
   bool retain(const std::set<VmId> &Dropped, const KeyedPage &Page,
               TimePoint Now) {
     bool New = false;
@@ -280,8 +279,8 @@
         Rows.onRegrouped(Target);
     });
     rebuildServingView(this->Board);
-    // All nodes find the same at their start, so only the first of each data
-    // centre logs every target: the lines would delay requests elsewhere.
+    // All nodes read the same entries at their start, so only the first node of
+    // each data centre logs every target.
     bool IsFirst = !std::exchange(this->HasApplied, true);
     if (!IsFirst || this->Board.FirstInCentre)
       for (const TargetRef &Target : Updated)
--- a/src/control/restore_wait.h
+++ b/src/control/restore_wait.h
@@ -19,10 +19,12 @@
 /// does not show that. So it proves nothing until operators have written again,
 /// have had time to do so, or another node reports that they have.
 ///
-/// If the copy lacks the version in force, operators have not written again
-/// yet. The wait then ends after the revocation bound, so that requests with
-/// keys are not refused until the next change of the configuration. Used by one
-/// thread.
+/// If the copy lacks a version that was in force before the restore, operators
+/// have not written again yet. On a node that has this version in force, the
+/// wait then ends after the revocation bound or RewriteTimeout, whichever is
+/// longer, so that requests with keys are not refused until the next change of
+/// the configuration. A node without this version has none in force until
+/// operators have written again (ConfigFollower). Used by one thread.
 class RestoreWait {
 public:
   explicit RestoreWait(Millis RevokeBound) : RevokeBound(RevokeBound) {}
@@ -30,7 +32,8 @@
   bool isOver(const KeyedPage &Page, TimePoint Now) {
     if (this->Era != Page.Next.Era)
       this->begin(Page.Next.Era, Now);
-    // Time in which the store cannot be read does not count.
+    // Compares the time of the proof, not the current time: the wait ends only
+    // with a proof from after its end.
     if (Page.Versions.isLost())
       return Page.ProvenAt >= this->UntilIfLost;
     return Page.Versions.Settled || Page.ProvenAt >= this->Until;
--- a/src/control/restored_entries.h
+++ b/src/control/restored_entries.h
@@ -28,10 +28,11 @@
 /// Stale entries that came back when the store was restored from an older copy:
 /// this node knows that their targets left or wrote a newer entry since. What
 /// is known stays in use until the target writes again. A live target writes
-/// within a heartbeat unless its entry is up to date, and the entry of a dead
-/// one lapses after three. An entry that is still there after three heartbeats
-/// is therefore used, except for a leaving target: within an incarnation, it
-/// never returns to service. Used by one thread.
+/// within one heartbeat interval unless its entry is up to date, and the entry
+/// of a dead target lapses after three intervals. An entry that is still listed
+/// after three intervals is therefore up to date and is used. The exception is
+/// a leaving target, which never returns to service within an incarnation. Used
+/// by one thread.
 class RestoredEntries {
 public:
   explicit RestoredEntries(Millis Heartbeat) : HoldDuration(3 * Heartbeat) {}
--- a/src/control/store_reader.h
+++ b/src/control/store_reader.h
@@ -23,10 +23,16 @@
 /// cache alone, so a call that hangs does not keep updates of other nodes from
 /// them.
 ///
+/// A proof is a time as of which the store is known to have held nothing newer
+/// than this node's copy (KeyedPage::ProvenAt). The operators' configuration
+/// bound, and for API keys the revocation bound, limits the age of the last
+/// proof of the configuration; the drain bound limits that of the registry. The
+/// directory has no bound.
+///
 /// One thread reads regularly (step). A second one (watch) checks the age of
 /// what is known: when it exceeds EntryBoard::maxAge while the call of the
-/// first one hangs, it reads over a new connection. A dead connection thus
-/// costs that age and one call rather than its timeouts.
+/// first one hangs, it reads over a new connection instead of waiting until the
+/// old one times out.
 template <StoreFeed Feed> class StoreReader {
 public:
   /// \p Open opens a connection to the feed at the store.
@@ -83,8 +89,8 @@
   /// Interval between proofs of a feed without a bound.
   static constexpr Millis UnboundedWait{4000};
   /// Part of the revocation bound between two proofs of the configuration. Two
-  /// reads, the follower's margin and slow responses have to fit into the
-  /// bound.
+  /// of these intervals, ConfigFollower::ProofMargin and the response times of
+  /// the store have to fit into the bound.
   static constexpr double ConfigProofPart = 0.3;
   /// Delay after a read of the registry, so that changes that come together
   /// share a call. Short, since owners wait for the effect of their orders.
@@ -171,9 +177,10 @@
   }
 
   /// How long the store may wait for a change, so that the next proof comes in
-  /// time; a proof that comes with records is as old as its request. Zero while
-  /// others may not rely on this node: one that takes over from another reader
-  /// needs a proof at once, or each other node would read the store itself.
+  /// time. A response with records proves only the time at which the request
+  /// was sent. Zero while others may not rely on this node: one that takes over
+  /// from another reader needs a proof at once, or each other node would read
+  /// the store itself.
   Millis pollTimeout(TimePoint Now) const {
     if (!this->Board.canServeFeed(this->Kind, Now))
       return Millis(0);
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -42,7 +42,7 @@
 /// effects of the previous owner's orders.
 inline constexpr Millis TakeoverDelay{1000};
 
-/// Value of DomainView::LoadsAllowed where loads are not limited.
+/// Value of DomainView::LoadsAllowed where weight loads are not limited.
 inline constexpr unsigned UnlimitedLoads = 1000;
 
 /// Input of one planning step: the state of a domain and of the service.
@@ -70,8 +70,10 @@
   /// group for a large one. Owners assume these trades, so that they do not all
   /// compensate for the same shortage.
   GroupCounts EarlierTrades;
-  /// Listed targets that do not respond while their group's head is stalled;
-  /// treated as dead before the registry removes them.
+  /// Listed targets that are treated as dead before the registry removes them:
+  /// an order to join did not reach them, another process responds at their
+  /// address, or they do not respond to probes, which are sent when the head of
+  /// their group is stalled or suspected.
   std::set<VmIncarnation> PresumedDead;
   /// New groups get epochs above this, which derives from the owner's fence.
   std::uint64_t EpochFloor = 0;
@@ -80,10 +82,10 @@
   /// Demand per model, per second, over all nodes. Empty where only the
   /// operators' figures are known.
   DemandTable Demand;
-  /// Loads from the shared store that the domain may start now, as
+  /// Weight loads from the shared store that the domain may start now, as
   /// scheduleLoads() says and within the owner's LoadBudget, or UnlimitedLoads.
   unsigned LoadsAllowed = 0;
-  /// Further loads that the store can serve at full speed.
+  /// Further weight loads that the store can serve at full speed.
   unsigned SpareLoads = 0;
   /// Models of which this domain has the most serving groups; ties go to the
   /// domain that comes first. Only this domain converts groups of them.
@@ -97,8 +99,9 @@
 
 /// Plans the groups of one domain: how many per model, of which VMs, and which
 /// orders to send next. Each step compares what the VMs announce with what was
-/// ordered. Its own
-/// state is not persisted: a new owner starts from the announcements alone.
+/// ordered. The planner's state is not persisted: a new owner starts from the
+/// announcements alone. Used by entries on the platform; the daemon with
+/// waycove's own interface plans with planSlot().
 ///
 /// Invariants, whatever messages are lost, late or repeated:
 /// - A VM joins a new group only after the head of its current group is known
@@ -229,7 +232,7 @@
   struct WarmUp {
     VmIncarnation Vm;
     TimePoint Since;
-    /// Loads from the shared store rather than from the host.
+    /// The weights are loaded from the shared store, not from the host.
     bool Cold = false;
   };
   std::map<GroupKey, WarmUp> WarmUps;
--- a/src/policy/domain_step.h
+++ b/src/policy/domain_step.h
@@ -44,9 +44,9 @@
   bool isUsable(const TargetInfo &Target) const;
   /// Whether the model has fewer groups than Wanted.
   bool isShort(const ModelSpec &Model) const;
-  /// Whether weights have to be on the hosts before a group forms. Loads from
-  /// the shared store take long; meanwhile the other VMs can serve, and a VM
-  /// that dies while loading does not break a group.
+  /// Whether weights have to be on the hosts before a group forms. Weight loads
+  /// from the shared store take long; meanwhile the other VMs can serve, and a
+  /// VM that dies while loading does not break a group.
   bool loadsBeforeForming() const;
   /// Usable VMs that are not busy.
   std::vector<TargetRef> freeVms() const;
