--- a/src/board/feed_cache.cpp
+++ b/src/board/feed_cache.cpp
@@ -9,44 +9,45 @@
 
 namespace waycove {
 
-/// Whether this node has a proof from the time when the store, by \p Page, was
-/// away: then it was away from the one who says so, and what went has gone.
+/// Returns whether this node has a proof from the time of the outage reported
+/// by \p Page. Then only the sender lost the store, and missing keys are not
+/// retained.
 bool FeedCache::isRefuted(const KeyedPage &Page) const {
-  return this->ProvenAt > Page.HoldUntil - LapseTime - AwayGap;
+  return this->ProvenAt > Page.RetainUntil - RecoveryTimeout - OutageThreshold;
 }
 
-bool FeedCache::take(const KeyedPage &Page, TimePoint Now) {
+bool FeedCache::merge(const KeyedPage &Page, TimePoint Now) {
   {
     std::lock_guard Lock(this->Mutex);
-    // Whoever is behind this node has nothing to tell it, and proves nothing.
+    // A page that ends before this node's position proves nothing.
     bool Ahead = !this->Known || Page.Next > this->Next;
     bool Proves = Page.Next == this->Next && Page.ProvenAt > this->ProvenAt;
     bool Restored = this->Known && Page.Next.Era > this->Next.Era;
-    // What is known here and what changed in another era do not add up.
-    if ((!this->Known || Restored) && !Page.Whole)
+    // Changes cannot be merged into an empty cache or across eras.
+    if ((!this->Known || Restored) && !Page.IsSnapshot)
       return false;
     if (!Ahead && !Proves)
       return false;
     if (Restored || !this->isRefuted(Page))
-      this->HoldUntil = std::max(this->HoldUntil, Page.HoldUntil);
-    // Whoever asks from an earlier era is told all: the same offsets stand for
-    // other records now, and which of them it has seen is not known.
+      this->RetainUntil = std::max(this->RetainUntil, Page.RetainUntil);
+    // The offsets of an earlier era refer to other records now, so reads from
+    // it get a snapshot.
     if (Restored)
-      this->ForgottenBelow = {Page.Next.Era, Offset()};
+      this->HistoryStart = {Page.Next.Era, Offset()};
     if (Ahead)
       this->advance(Page, Now);
     bool Proven = Page.ProvenAt != TimePoint();
-    this->Versions.takePage({Page.Next.Era, Page.Versions},
-                            Proven ? Page.ProvenAt : Now);
+    this->Versions.mergePage({Page.Next.Era, Page.Versions},
+                             Proven ? Page.ProvenAt : Now);
     this->ProvenAt = std::max(this->ProvenAt, Page.ProvenAt);
   }
   this->Changed.notify_all();
   return true;
 }
 
-void FeedCache::hear(const EraMarks &Told, TimePoint Now) {
+void FeedCache::mergeMarks(const EraMarks &Received, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  this->Versions.hear(Told, Now);
+  this->Versions.mergeMarks(Received, Now);
 }
 
 void FeedCache::settle(StoreEra Era, TimePoint At) {
@@ -55,9 +56,9 @@
 }
 
 std::optional<StoreEra> FeedCache::settledEra() const {
-  EraMarks Seen = this->marks();
-  bool Settled = Seen.Versions.Settled && !Seen.Versions.isLost();
-  return Settled ? std::optional(Seen.Era) : std::nullopt;
+  EraMarks Marks = this->marks();
+  bool Settled = Marks.Versions.Settled && !Marks.Versions.isLost();
+  return Settled ? std::optional(Marks.Era) : std::nullopt;
 }
 
 EraMarks FeedCache::marks() const {
@@ -66,99 +67,99 @@
 }
 
 void FeedCache::advance(const KeyedPage &Page, TimePoint Now) {
-  if (Page.Whole)
-    this->addMissing(Page, Now);
-  // What was dropped before the first page is not known here.
+  if (Page.IsSnapshot)
+    this->addTombstones(Page, Now);
+  // Keys removed before the first page are unknown.
   if (!this->Known)
-    this->ForgottenBelow = Page.Next;
+    this->HistoryStart = Page.Next;
   for (const KeyedRecord &Record : Page.Records)
-    this->put(Record, Record.Below.At == Offset() ? Page.Next : Record.Below,
+    this->put(Record,
+              Record.EndPosition.At == Offset() ? Page.Next
+                                                : Record.EndPosition,
               Now);
   this->Next = Page.Next;
   this->Known = true;
   this->prune(Now);
 }
 
-void FeedCache::put(const KeyedRecord &Record, StorePosition Below,
+void FeedCache::put(const KeyedRecord &Record, StorePosition EndPosition,
                     TimePoint Now) {
-  // All of a feed comes anew where its history was dropped. What has not
-  // changed is no news to whoever asks from before it: passed on again, 931
-  // entries were too large, and each of 295 nodes read them from the store. In
-  // a new era it is news all the same: others may know an older value of it.
-  auto [At, New] = this->Rows.try_emplace(Record.Key);
-  bool Same = !New && At->second.Value == Record.Value &&
-              At->second.Below.Era == Below.Era;
+  // Unchanged records of a snapshot keep their position, so that they are not
+  // sent to downstream nodes again. In a new era they are, because downstream
+  // nodes may have an older value.
+  auto [At, Inserted] = this->Entries.try_emplace(Record.Key);
+  bool Same = !Inserted && At->second.Value == Record.Value &&
+              At->second.EndPosition.Era == EndPosition.Era;
   if (!Same)
-    At->second = {Record.Value, Below, Record.Value ? TimePoint() : Now};
+    At->second = {Record.Value, EndPosition, Record.Value ? TimePoint() : Now};
 }
 
-void FeedCache::addMissing(const KeyedPage &Page, TimePoint Now) {
+void FeedCache::addTombstones(const KeyedPage &Page, TimePoint Now) {
   std::set<std::string> Present;
   for (const KeyedRecord &Record : Page.Records)
     Present.insert(Record.Key);
-  for (auto &[Key, Row] : this->Rows)
-    if (Row.Value && !Present.contains(Key))
-      Row = {std::nullopt, Page.Next, Now};
+  for (auto &[Key, Stored] : this->Entries)
+    if (Stored.Value && !Present.contains(Key))
+      Stored = {std::nullopt, Page.Next, Now};
 }
 
 void FeedCache::prune(TimePoint Now) {
-  std::erase_if(this->Rows, [&](const auto &Entry) {
-    const Row &Dropped = Entry.second;
-    if (Dropped.Value || Now - Dropped.DroppedAt < DropMemory)
+  std::erase_if(this->Entries, [&](const auto &Item) {
+    const Entry &Removed = Item.second;
+    if (Removed.Value || Now - Removed.RemovedAt < TombstoneRetention)
       return false;
-    this->ForgottenBelow = std::max(this->ForgottenBelow, Dropped.Below);
+    this->HistoryStart = std::max(this->HistoryStart, Removed.EndPosition);
     return true;
   });
 }
 
-/// What changed from \p From on, or with \p Whole all that there is.
-KeyedPage FeedCache::pageFrom(StorePosition From, bool Whole) const {
+/// Returns the records changed since \p From, or all records if \p IsSnapshot.
+KeyedPage FeedCache::pageFrom(StorePosition From, bool IsSnapshot) const {
   KeyedPage Page;
   Page.Next = this->Next;
   Page.Versions = this->Versions.marks(this->ProvenAt).Versions;
-  Page.Whole = Whole;
+  Page.IsSnapshot = IsSnapshot;
   Page.ProvenAt = this->ProvenAt;
-  Page.HoldUntil = this->HoldUntil;
-  for (const auto &[Key, Row] : this->Rows)
-    if (Whole ? Row.Value.has_value() : Row.Below > From)
-      Page.Records.push_back({Key, Row.Value, Row.Below});
+  Page.RetainUntil = this->RetainUntil;
+  for (const auto &[Key, Stored] : this->Entries)
+    if (IsSnapshot ? Stored.Value.has_value() : Stored.EndPosition > From)
+      Page.Records.push_back({Key, Stored.Value, Stored.EndPosition});
   return Page;
 }
 
-/// Leaves the records with the lowest offsets, up to \p MostBytes. Where a
-/// registry of 3,000 targets changes within seconds, what a node missed is
-/// larger than a link carries in a round: it has to come in parts that each
-/// leave room for the other feeds, and never from the store to each node.
-void FeedCache::cut(KeyedPage &Page, std::size_t MostBytes) {
+/// Truncates \p Page to the records with the lowest positions, up to
+/// \p MaxBytes. Large updates are sent in parts so that they neither delay the
+/// other feeds nor make every node read from the store.
+void FeedCache::truncate(KeyedPage &Page, std::size_t MaxBytes) {
   std::stable_sort(Page.Records.begin(), Page.Records.end(),
                    [](const KeyedRecord &Left, const KeyedRecord &Right) {
-                     return Left.Below < Right.Below;
+                     return Left.EndPosition < Right.EndPosition;
                    });
   std::size_t Bytes = 0;
   StorePosition Last;
   for (auto At = Page.Records.begin(); At != Page.Records.end(); ++At) {
     Bytes += At->Key.size() + (At->Value ? At->Value->size() : 0);
     bool Fits =
-        Bytes <= MostBytes || Last == StorePosition() || At->Below == Last;
+        Bytes <= MaxBytes || Last == StorePosition() || At->EndPosition == Last;
     if (!Fits) {
       Page.Records.erase(At, Page.Records.end());
       Page.Next = Last;
       Page.Partial = true;
       return;
     }
-    Last = At->Below;
+    Last = At->EndPosition;
   }
 }
 
-KeyedPage FeedCache::since(StorePosition From, std::size_t MostBytes) const {
+KeyedPage FeedCache::since(StorePosition From, std::size_t MaxBytes) const {
   std::lock_guard Lock(this->Mutex);
-  KeyedPage Page = this->pageFrom(From, From < this->ForgottenBelow);
-  if (!Page.Whole && MostBytes != AllBytes)
-    cut(Page, MostBytes);
+  KeyedPage Page = this->pageFrom(From, From < this->HistoryStart);
+  if (!Page.IsSnapshot && MaxBytes != UnlimitedBytes)
+    truncate(Page, MaxBytes);
   return Page;
 }
 
-KeyedPage FeedCache::whole() const {
+KeyedPage FeedCache::snapshot() const {
   std::lock_guard Lock(this->Mutex);
   return this->pageFrom(StorePosition(), true);
 }
@@ -180,16 +181,17 @@
   });
 }
 
-void FeedCache::waitWake(TimePoint Until) {
+void FeedCache::waitForWake(TimePoint Until) {
   std::unique_lock Lock(this->Mutex);
-  std::uint64_t Before = this->Wakes;
-  waitUntil(this->Woken, Lock, Until, [&] { return this->Wakes != Before; });
+  std::uint64_t Previous = this->WakeCount;
+  waitUntil(this->Woken, Lock, Until,
+            [&] { return this->WakeCount != Previous; });
 }
 
 void FeedCache::wake() {
   {
     std::lock_guard Lock(this->Mutex);
-    ++this->Wakes;
+    ++this->WakeCount;
   }
   this->Woken.notify_all();
 }
--- a/src/control/cached_feed.h
+++ b/src/control/cached_feed.h
@@ -15,13 +15,14 @@
 public:
   explicit CachedFeed(FeedCache &Cache) : Cache(Cache) {}
 
-  /// Waits a while for a first page. Error NotFound: nothing is known yet.
+  /// Waits for a first page for up to InitialTimeout. Error NotFound: nothing
+  /// is known yet.
   absl::StatusOr<KeyedPage> newest() {
     this->Cache.wait(StorePosition(), TimePoint(),
                      SystemClock{}.now() + InitialTimeout);
     if (!this->Cache.next())
       return makeError(ErrorKind::NotFound, "nothing is known yet");
-    KeyedPage Page = this->Cache.whole();
+    KeyedPage Page = this->Cache.snapshot();
     this->LastProof = Page.ProvenAt;
     return Page;
   }
--- a/src/control/config_follower.h
+++ b/src/control/config_follower.h
@@ -19,7 +19,7 @@
       : Board(Board), Source(Source), Decode(std::move(Decode)),
         Restore(Board.Config.Entry->RevokeBound) {}
 
-  /// Applies what is new; waits a while for it.
+  /// Applies what is new; waits for it for up to pollTimeout().
   void step() {
     absl::StatusOr<KeyedPage> Page = this->Source.read(this->pollTimeout());
     if (Page.ok())
@@ -35,7 +35,8 @@
   static constexpr Millis ProofMargin{150};
 
   Millis pollTimeout() const {
-    return EntryBoard::partOf(this->Board.Config.Entry->RevokeBound, PollPart);
+    return EntryBoard::fractionOf(this->Board.Config.Entry->RevokeBound,
+                                  PollPart);
   }
 
   void applyPage(const KeyedPage &Page) {
@@ -49,7 +50,7 @@
     // Nodes that start and see only the older version must not use it.
     if (!Page.Versions.isLost())
       this->Board.feed(FeedKind::Config).settle(Page.Next.Era, Page.ProvenAt);
-    this->Board.ConfigFresh.renew(
+    this->Board.ConfigLease.renew(
         Page.ProvenAt, this->Board.Config.Entry->RevokeBound - ProofMargin);
   }
 
@@ -60,28 +61,29 @@
   }
 
   /// Handles the loss of the newest version by a restore of the store. A node
-  /// that started since then found an older version: none is in force, and
-  /// nothing is served, until operators have written again.
+  /// without that version has none in force, and serves nothing, until
+  /// operators have written again. A node that has it keeps it in force;
+  /// RestoreWait decides when it counts as current again.
   void updateLost(const VersionMarks &Versions) {
     bool IsLost = Versions.isLost();
-    this->MinVersion = IsLost ? Versions.Before.Value : 0;
+    this->MinVersion = IsLost ? Versions.Previous.Value : 0;
     if (std::exchange(this->WasLost, IsLost) != IsLost)
       this->Board.Log.emit(IsLost ? EventCode::ConfigLost
                                   : EventCode::ConfigWrittenAgain,
                            Decoder::Key,
                            LogFields()
                                .add("in_force", this->inForce())
-                               .add("before", Versions.Before.Value)
-                               .add("shown", Versions.Shown.Value));
+                               .add("before", Versions.Previous.Value)
+                               .add("shown", Versions.Current.Value));
     if (this->inForce() >= this->MinVersion)
       return;
-    this->Board.ConfigFresh.drop();
+    this->Board.ConfigLease.drop();
     this->Board.Routing.write([](RoutingConfigRef &Row) { Row.reset(); });
     rebuildServingView(this->Board);
   }
 
   void updateProof() {
-    bool IsProven = this->Board.ConfigFresh.holds(SystemClock{}.now());
+    bool IsProven = this->Board.ConfigLease.holds(SystemClock{}.now());
     if (std::exchange(this->WasProven, IsProven) != IsProven)
       this->Board.Log.emit(IsProven ? EventCode::ConfigProven
                                     : EventCode::ConfigUnproven,
--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -11,10 +11,11 @@
 
 namespace waycove {
 
-/// Owns the fabric domains that the platform assigns to this node and plans
-/// their groups. Orders are sent only while the lease holds by the local clock.
-/// They carry the fence of the assignment, so that targets refuse late ones;
-/// epochs are the fence followed by a counter.
+/// Owns the fabric domains that the platform assigns to this node, an entry on
+/// the platform, and plans their groups; the daemon with waycove's own
+/// interface has GroupController instead. Orders are sent only while the lease
+/// holds by the local clock. They carry the fence of the assignment, so that
+/// targets refuse late ones; epochs are the fence followed by a counter.
 ///
 /// A store restored from an older copy may assign a domain whose previous owner
 /// still holds its lease, so nothing is ordered for one lease duration after a
@@ -25,7 +26,8 @@
       : Board(Board), Partitioner(Partitioner), Prober(Board, Targets),
         Sender(Board, Targets), Budget(Board) {}
 
-  /// Renews the lease; returns the pause before the next renewal.
+  /// Renews the lease, or releases the domains if this node stops or is not
+  /// needed; returns the pause before the next call.
   Millis renewLease() {
     if (this->Board.Stopping) {
       if (this->Joined.exchange(false))
@@ -39,7 +41,7 @@
       return this->Listed ? RenewInterval : UnlistedPollInterval;
     }
     Millis Duration =
-        std::max(LeaseDuration, this->Board.Config.Entry->LeaseLeast);
+        std::max(LeaseDuration, this->Board.Config.Entry->MinLease);
     this->Board.Counters.Calls.add(StoreUse::Shares, this->joinCause());
     absl::StatusOr<PartitionAssignment> Assignment =
         this->Partitioner.join(this->knownGeneration(), Duration);
@@ -59,7 +61,7 @@
     });
     this->OwnLease.renew(SentAt, Duration - LeaseMargin);
     this->updateAssignment(*Assignment, Duration);
-    return this->Board.Share > 0 ? RenewInterval : IdleRenewInterval;
+    return this->Board.PartitionShare > 0 ? RenewInterval : IdleRenewInterval;
   }
 
   /// Plans all owned domains once and sends the resulting orders.
@@ -93,7 +95,8 @@
 private:
   /// Low bits of an epoch that hold the counter below the fence.
   static constexpr unsigned EpochCounterBits = 20;
-  /// More epochs than a process can use before the registry shows one of them.
+  /// Upper bound on the epochs that an earlier incarnation of this process used
+  /// and that the registry does not show.
   static constexpr std::uint64_t UnseenEpochs = 1024;
   /// Domains of a failed owner stay without one for at most this long.
   static constexpr Millis LeaseDuration{2000};
@@ -125,7 +128,7 @@
     this->Listed = Nodes.contains(Config.Node);
     std::vector<NodeInfo> Order = readersOf(Nodes, Config.DataCentre);
     std::size_t MembersNeeded =
-        membersWanted(Config.Entry->WorkParts, centresOf(Nodes).size());
+        membersWanted(Config.Entry->PartitionCount, centresOf(Nodes).size());
     bool Holds = this->Assigned.read(
         [](const PartitionAssignment &Row) { return !Row.Partitions.empty(); });
     ShareRenewals Known = this->Board.Renewals.read(
@@ -135,8 +138,9 @@
   }
 
   /// The generation to report to the store; zero if it is of an earlier era.
-  /// The store takes it as a confirmation that this node has released what was
-  /// assigned to others up to that generation.
+  /// With it this node confirms to the store that it has released the
+  /// partitions that were assigned to other nodes in this or an earlier
+  /// generation.
   std::uint64_t knownGeneration() const {
     PartitionAssignment Assignment =
         this->Assigned.read([](const PartitionAssignment &Row) { return Row; });
@@ -148,7 +152,7 @@
   bool mayOrder(const PartitionAssignment &Assignment, TimePoint Now) const {
     StoreEra Listed = this->Board.Targets.read(
         [](const Fleet &Rows) { return Rows.Registry.Era; });
-    return this->OwnLease.holds(Now) && this->Board.RegistryFresh.holds(Now) &&
+    return this->OwnLease.holds(Now) && this->Board.RegistryLease.holds(Now) &&
            Assignment.Era == Listed && !this->OtherOwnersLease.holds(Now);
   }
 
@@ -157,7 +161,7 @@
       return CallCause::Retry;
     if (!this->Joined)
       return CallCause::Start;
-    return this->Board.Share > 0 ? CallCause::Duty : CallCause::Alone;
+    return this->Board.PartitionShare > 0 ? CallCause::Duty : CallCause::Alone;
   }
 
   std::vector<GroupOrder> planAll(const RoutingConfig &Config,
@@ -204,7 +208,7 @@
   /// Whether the registry was not read after \p Since. After a suspension of
   /// this machine time has passed without any update.
   bool isRegistryUnread(TimePoint Since) const {
-    return this->Board.RegistryProven.get() < Since;
+    return this->Board.RegistryProvenAt.get() < Since;
   }
 
   /// Demand counted by all nodes, or extrapolated from this one if no other
@@ -212,11 +216,11 @@
   DemandTable demandOf(const EngineSpec &Engine) const {
     auto Copy = [](const DemandTable &Rows) { return Rows; };
     DemandTable Counted = this->Board.Demand.read(Copy);
-    DemandTable Others = this->Board.DemandElsewhere.read(Copy);
+    DemandTable Others = this->Board.RemoteDemand.read(Copy);
     for (const auto &[Model, Added] : Others)
       Counted[Model].add(Added);
     return demandRates(Engine, Counted,
-                       Others.empty() ? this->Board.evenShare() : 1);
+                       Others.empty() ? this->Board.perNodeShare() : 1);
   }
 
   /// First epoch of this ownership: above every epoch that the domain's VMs
@@ -225,14 +229,14 @@
   /// and the generation, so the fence alone does not separate the two.
   static std::uint64_t firstFloor(const DomainView &View) {
     std::uint64_t Seen = 0;
-    auto Note = [&](const TargetInfo &Target) {
+    auto Include = [&](const TargetInfo &Target) {
       if (Target.Group)
         Seen = std::max(Seen, Target.Group->Group.Epoch);
     };
     for (const TargetRef &Target : View.Targets)
-      Note(*Target);
+      Include(*Target);
     for (const RemovedTarget &Target : View.Removed)
-      Note(*Target.Last);
+      Include(*Target.Last);
     return Seen < View.EpochFloor ? View.EpochFloor : Seen + UnseenEpochs;
   }
 
@@ -259,7 +263,7 @@
     bool NotDelivered = Order.Kind == OrderKind::Join && Unconfirmed;
     if ((NotDelivered || Outcome == OrderOutcome::ProcessEnded) &&
         this->OwnLease.holds(Now))
-      this->Prober.markUnreachable(Order.To->life(), Now);
+      this->Prober.markUnreachable(Order.To->incarnation(), Now);
   }
 
   void updateAssignment(const PartitionAssignment &Next, Millis Duration) {
@@ -270,9 +274,9 @@
       this->OtherOwnersLease.renew(SystemClock{}.now(), Duration);
     bool Changed =
         Before.fence() != Next.fence() || Before.Partitions != Next.Partitions;
-    this->Board.Share =
+    this->Board.PartitionShare =
         static_cast<double>(Next.Partitions.size()) /
-        static_cast<double>(this->Board.Config.Entry->WorkParts);
+        static_cast<double>(this->Board.Config.Entry->PartitionCount);
     if (!Changed)
       return;
     std::string Partitions;
--- a/src/control/member_prober.h
+++ b/src/control/member_prober.h
@@ -22,7 +22,7 @@
       : Board(Board), Targets(Targets) {}
 
   /// Status of the members that were queried.
-  const std::map<VmLife, MemberStatus> &statuses() const {
+  const std::map<VmIncarnation, MemberStatus> &statuses() const {
     return this->Statuses;
   }
 
@@ -39,16 +39,16 @@
 
   /// Treats \p Vm as dead for LostRetention after an order to join did not
   /// reach it, so that the group is formed of others at once.
-  void markUnreachable(const VmLife &Vm, TimePoint Now) {
+  void markUnreachable(const VmIncarnation &Vm, TimePoint Now) {
     this->Suspects[Vm] = {Now, MaxFailures};
   }
 
   /// Probes the members of groups whose head is stalled, and heads that any
   /// node suspects for another reason: a head that restarted while cut off from
-  /// the registry refuses requests at once and never stalls. A member that does
-  /// not respond repeatedly, or has restarted, is added to the lost ones of \p
-  /// View. A member that is used again is told to leave first, so a wrong guess
-  /// costs a repair but is safe.
+  /// the registry refuses requests at once and never stalls. Adds members that
+  /// repeatedly do not respond, or have restarted, and those passed to
+  /// markUnreachable() to View.PresumedDead. A member that is used again is
+  /// told to leave first, so a wrong guess costs a repair but is safe.
   void detectLost(DomainView &View) {
     std::erase_if(this->Suspects, [&](const auto &Entry) {
       return View.Now - Entry.second.At > LostRetention;
@@ -63,8 +63,8 @@
       if (Target->Group->Rank != 0 || Target->Group->State != MemberState::Open)
         continue;
       auto [HeadIdle, Suspect] =
-          this->Board.Vitals.read([&](const VitalsTable &Rows) {
-            VmLife Incarnation = Target->life();
+          this->Board.TargetStats.read([&](const VitalsTable &Rows) {
+            VmIncarnation Incarnation = Target->incarnation();
             return std::pair(Rows.silence(Incarnation, View.Now),
                              Rows.isSuspect(Incarnation, View.Now));
           });
@@ -86,8 +86,8 @@
   void queryRemoved(const DomainView &View,
                     const std::vector<RemovedTarget> &Members) {
     for (const RemovedTarget &Member : Members) {
-      ProbeState &Entry = this->Queries[Member.Last->life()];
-      MemberStatus &Known = this->Statuses[Member.Last->life()];
+      ProbeState &Entry = this->Queries[Member.Last->incarnation()];
+      MemberStatus &Known = this->Statuses[Member.Last->incarnation()];
       Millis Interval =
           Known == MemberStatus::Unknown ? ProbeInterval : RequeryInterval;
       if (Entry.At != TimePoint() && View.Now - Entry.At < Interval)
@@ -144,7 +144,7 @@
   void probeMembers(const std::vector<TargetRef> &Members, TimePoint Now) {
     std::vector<TargetRef> Due;
     for (const TargetRef &Member : Members) {
-      ProbeState &Entry = this->Suspects[Member->life()];
+      ProbeState &Entry = this->Suspects[Member->incarnation()];
       if (Entry.Failures < MaxFailures &&
           (Entry.At == TimePoint() || Now - Entry.At >= ProbeInterval))
         Due.push_back(Member);
@@ -162,7 +162,7 @@
           return Result != Reachability::Unresponsive;
         });
     for (std::size_t I = 0; I < Due.size(); ++I) {
-      ProbeState &Entry = this->Suspects[Due[I]->life()];
+      ProbeState &Entry = this->Suspects[Due[I]->incarnation()];
       Entry.At = Now;
       if (!AnyReachable)
         continue;
@@ -194,9 +194,9 @@
 
   EntryBoard &Board;
   Control &Targets;
-  std::map<VmLife, MemberStatus> Statuses;
-  std::map<VmLife, ProbeState> Queries;
-  std::map<VmLife, ProbeState> Suspects;
+  std::map<VmIncarnation, MemberStatus> Statuses;
+  std::map<VmIncarnation, ProbeState> Queries;
+  std::map<VmIncarnation, ProbeState> Suspects;
 };
 
 } // namespace waycove
--- a/src/control/news_server.h
+++ b/src/control/news_server.h
@@ -21,7 +21,7 @@
 
 /// Responds to requests of other nodes with the changes of each feed since the
 /// position that they name, as far as they may rely on this node for it
-/// (EntryBoard::mayTell).
+/// (EntryBoard::canServeFeed).
 class NewsServer {
 public:
   NewsServer(EntryBoard &Board, SharedObservations &Observations)
--- a/src/control/node_follower.h
+++ b/src/control/node_follower.h
@@ -13,10 +13,11 @@
 
 namespace waycove {
 
-/// Announces this node in the platform's directory and follows the
-/// announcements of others. A node that is killed stays listed until it
-/// restarts, and is then not announced again; nodes that query it notice. Used
-/// by one thread.
+/// Announces this node in the platform's directory, removes the announcement in
+/// a planned stop, and follows the announcements of others. A node that is
+/// killed stays listed; nodes that request updates from it notice that it does
+/// not respond. When it restarts at the same address, the announcement of its
+/// earlier incarnation stays in use. Used by one thread.
 template <KeyedFeed Feed, NodeDirectory Directory> class NodeFollower {
 public:
   NodeFollower(EntryBoard &Board, Feed &Source, Directory &Announcements)
@@ -54,15 +55,15 @@
   /// Without that, nodes that all start after a restore would refuse keys for
   /// the length of the revocation bound.
   bool hasNewSettledEra() const {
-    StoreEra Settled = this->Board.self().Settled;
-    return this->Board.FirstOfCentre && Settled > this->SettledEra;
+    StoreEra Settled = this->Board.nodeInfo().Settled;
+    return this->Board.FirstInCentre && Settled > this->SettledEra;
   }
 
   /// Whether this node, on behalf of its data centre, has to announce which
   /// requests are blamed for crashes, so that nodes that all start at once
   /// know.
   bool hasNewBlame() const {
-    if (!this->Board.FirstOfCentre ||
+    if (!this->Board.FirstInCentre ||
         SystemClock{}.now() - this->AnnouncedAt < BlameInterval)
       return false;
     CrashRows Blamed = this->currentBlame();
@@ -78,14 +79,14 @@
   }
 
   bool announce() {
-    NodeInfo Me = this->Board.self();
+    NodeInfo Me = this->Board.nodeInfo();
     CrashRows Blamed = this->currentBlame();
     this->AnnouncedAt = SystemClock{}.now();
     this->Board.Counters.Calls.add(StoreUse::Announcement,
                                    this->IsReachable ? CallCause::Start
                                                      : CallCause::Retry);
     absl::Status Put =
-        this->Announcements.put(Me.Node.Text, packNode({Me, Blamed}));
+        this->Announcements.put(Me.Node.Text, packAnnouncement({Me, Blamed}));
     this->setReachable(Put.ok(), messageOf(Put));
     if (Put.ok()) {
       this->settle(Me.Settled);
@@ -119,7 +120,8 @@
   /// place in the order.
   void apply(const KeyedPage &Page) {
     std::vector<NodeInfo> Present;
-    std::set<NodeId> Removed = Page.Whole ? this->listed() : std::set<NodeId>();
+    std::set<NodeId> Removed =
+        Page.IsSnapshot ? this->listed() : std::set<NodeId>();
     for (const KeyedRecord &Row : Page.Records) {
       NodeId Id(Row.Key);
       Removed.erase(Id);
@@ -127,7 +129,7 @@
         Removed.insert(Id);
         continue;
       }
-      absl::StatusOr<Announcement> Read = unpackNode(*Row.Value);
+      absl::StatusOr<Announcement> Read = unpackAnnouncement(*Row.Value);
       if (Read.ok() && Read->Node.Node == Id) {
         Present.push_back(std::move(Read->Node));
         this->applyBlamed(Read->Blamed);
@@ -161,11 +163,11 @@
                     const std::set<NodeId> &Removed) {
     // The removal by an earlier incarnation was carried out late, or the store
     // was restored from a copy older than the announcement: announce again.
-    if (Page.Whole || Removed.contains(this->Board.Config.Node))
+    if (Page.IsSnapshot || Removed.contains(this->Board.Config.Node))
       this->Listed = false;
     // An earlier incarnation announced the same address.
     for (const NodeInfo &Row : Present)
-      if (Row.samePlace(this->Board.self()))
+      if (Row.samePlace(this->Board.nodeInfo()))
         this->Listed = true;
   }
 
--- a/src/control/order_sender.h
+++ b/src/control/order_sender.h
@@ -41,7 +41,7 @@
 
 private:
   bool isFenced(const GroupOrder &Order, std::uint64_t Fence) const {
-    auto At = this->FencedAt.find(Order.To->life());
+    auto At = this->FencedAt.find(Order.To->incarnation());
     return At != this->FencedAt.end() && At->second >= Fence;
   }
 
@@ -51,7 +51,7 @@
     if (Outcome != OrderOutcome::Accepted)
       this->Board.Counters.add(Counter::OrdersFailed);
     if (Outcome == OrderOutcome::Fenced)
-      this->FencedAt[Order.To->life()] = Fence;
+      this->FencedAt[Order.To->incarnation()] = Fence;
     this->Board.Log.emit(EventCode::DomainOrderEnded, Order.To->Id.Text,
                          LogFields()
                              .add("order", orderName(Order.Kind))
@@ -66,7 +66,7 @@
   Control &Targets;
   /// Newest fence that a target refused because it has seen a newer one, by
   /// incarnation: a target that restarts forgets the fences it has seen.
-  std::map<VmLife, std::uint64_t> FencedAt;
+  std::map<VmIncarnation, std::uint64_t> FencedAt;
 };
 
 } // namespace waycove
--- a/src/control/peer_records.cpp
+++ b/src/control/peer_records.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Millis AskAgainAfter(400);
+constexpr Millis RecordRequestInterval(400);
 /// Records sent in one answer, in bytes.
 constexpr std::size_t MaxRecordBytes = 1 << 20;
 
 } // namespace
 
-void PeerExchange::askForRecords(TimePoint Now) {
+void PeerExchange::requestRecords(TimePoint Now) {
   Offset Mine = this->Fold.next();
   std::uint64_t Best = Mine.Value;
   LinkRef From;
@@ -29,17 +29,18 @@
         return;
       AnyServes = true;
       Highest = std::max(Highest, Other->Folded);
-      if (Other->Folded > Best && Now - Row->AskedAt > AskAgainAfter) {
+      if (Other->Folded > Best &&
+          Now - Row->RequestedAt > RecordRequestInterval) {
         Best = Other->Folded;
         From = Row;
       }
     });
   if (From) {
-    From->AskedAt = Now;
+    From->RequestedAt = Now;
     wire::RecordsWantedT Asked;
     Asked.from = Mine.Value;
     this->send(*From,
-               frameOf(this->Tables.Clock.tick(SystemClock{}.wall()), Asked));
+               makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()), Asked));
     return;
   }
   // A daemon that started while the platform is away serves as soon as it has
@@ -47,7 +48,7 @@
   bool MayServe = !this->Tables.LogUp && !this->Tables.Restoring;
   if (!this->Tables.Ready && MayServe && AnyServes && Mine.Value >= Highest &&
       !this->Tables.Ready.exchange(true))
-    this->Tables.Log.emit(EventCode::DaemonReady, this->Tables.Me.Node.Text,
+    this->Tables.Log.emit(EventCode::DaemonReady, this->Tables.Self.Node.Text,
                           "state taken from peers, up to " +
                               std::to_string(Mine.Value));
 }
@@ -64,7 +65,7 @@
       Out->host = Info.Address.Host;
       Out->port = Info.Address.Port;
       Out->leaving = Info.ListedLeaving;
-      for (const Label &Row : Info.Own.rows()) {
+      for (const Label &Row : Info.OwnLabels.rows()) {
         auto Pair = std::make_unique<wire::HeaderT>();
         Pair->name = Row.Key;
         Pair->value = Row.Value;
@@ -85,12 +86,12 @@
     for (const auto &Row : Rows.vms) {
       VmInfo Info;
       Info.Id = VmId(Row->id);
-      Info.DataCentre = this->Tables.Me.DataCentre;
+      Info.DataCentre = this->Tables.Self.DataCentre;
       Info.Domain = DomainId(Row->domain);
       Info.Address = {Row->host, Row->port};
       Info.ListedLeaving = Row->leaving;
       for (const auto &Pair : Row->labels)
-        Info.Own.set(Pair->name, Pair->value);
+        Info.OwnLabels.set(Pair->name, Pair->value);
       Vms.put(Info);
     }
     Vms.Version = std::max(Vms.Version, Rows.vms_version);
@@ -99,24 +100,24 @@
   this->Tables.RoutingVersion.fetch_add(1);
 }
 
-void PeerExchange::askForVms() {
+void PeerExchange::requestVms() {
   if (this->Tables.VmsKnown || this->Tables.LogUp)
     return;
   for (const LinkRef &Row : this->openLinks())
-    if (Row->Centre == this->Tables.Me.DataCentre) {
+    if (Row->Centre == this->Tables.Self.DataCentre) {
       wire::RecordsWantedT Asked;
       Asked.from = this->Fold.next().Value;
       Asked.vms = true;
-      this->send(*Row,
-                 frameOf(this->Tables.Clock.tick(SystemClock{}.wall()), Asked));
+      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                                 Asked));
       return;
     }
 }
 
-void PeerExchange::answerRecords(Link &To, const wire::RecordsWantedT &Asked) {
+void PeerExchange::sendRecords(Link &To, const wire::RecordsWantedT &Asked) {
   Offset From(Asked.from);
   wire::RecordsT Answer;
-  if (Asked.vms && To.Centre == this->Tables.Me.DataCentre &&
+  if (Asked.vms && To.Centre == this->Tables.Self.DataCentre &&
       this->Tables.VmsKnown)
     Answer.vms = this->vmRows(Answer.vms_version);
   std::vector<LogRecord> Rows = this->Tables.Tail.read(
@@ -135,20 +136,20 @@
         [](const FoldState &State) { return State.save(); });
     Answer.checkpoint.assign(Saved.begin(), Saved.end());
   }
-  this->send(To, frameOf(this->Tables.Clock.tick(SystemClock{}.wall()),
-                         std::move(Answer)));
+  this->send(To, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                           std::move(Answer)));
 }
 
 void PeerExchange::receiveRecords(const wire::RecordsT &Rows) {
   this->receiveVms(Rows);
   if (!Rows.checkpoint.empty())
-    this->Fold.takeCheckpoint({Rows.checkpoint.begin(), Rows.checkpoint.end()})
+    this->Fold.applyCheckpoint({Rows.checkpoint.begin(), Rows.checkpoint.end()})
         .IgnoreError();
   std::vector<LogRecord> Records;
   for (const auto &Row : Rows.entries)
     Records.push_back(
         {Offset(Row->offset), {Row->data.begin(), Row->data.end()}});
-  std::size_t Taken = this->Fold.take(Records);
+  std::size_t Taken = this->Fold.apply(Records);
   if (Taken > 0)
     this->Tables.Log.emit(EventCode::RecordsFromPeer, std::to_string(Taken),
                           "up to " + std::to_string(this->Fold.next().Value));
--- a/src/control/peers.cpp
+++ b/src/control/peers.cpp
@@ -13,20 +13,20 @@
 
 namespace {
 
-constexpr Millis FirstFrameWithin(3000);
+constexpr Millis FirstFrameTimeout(3000);
 /// A link without frames for this long is broken: heartbeats flow all the
 /// time.
-constexpr Millis LinkSilence(15000);
-constexpr std::size_t MaxDialing = 8;
+constexpr Millis LinkIdleTimeout(15000);
+constexpr std::size_t MaxConcurrentDials = 8;
 constexpr std::size_t MaxLinks = 64;
-constexpr Millis UnwantedAfter(5000);
+constexpr Millis UnwantedLinkTimeout(5000);
 /// Up to this size the ring's news needs one or two hops.
-constexpr std::size_t SmallCentre = 9;
-constexpr int PeriodsSilent = 4;
+constexpr std::size_t SmallDataCentreSize = 9;
+constexpr int LivenessHeartbeats = 4;
 /// Heartbeats come the slower, the more daemons there are.
-constexpr Millis BeatPerMember(20);
+constexpr Millis HeartbeatIntervalPerMember(20);
 /// Of other data centres' heartbeats one in so many is passed on.
-constexpr std::uint64_t SlowPace = 4;
+constexpr std::uint64_t RemoteHeartbeatStride = 4;
 
 class PeerConnection : public Poco::Net::TCPServerConnection {
 public:
@@ -52,10 +52,10 @@
 
 } // namespace
 
-PeerExchange::PeerExchange(Board &Tables, Folder &Fold,
+PeerExchange::PeerExchange(Board &Tables, RecordFolder &Fold,
                            ForwardHandler OnForward)
     : Tables(Tables), Fold(Fold), OnForward(std::move(OnForward)),
-      BeatEvery(Tables.Config.HeartbeatEvery) {}
+      EffectiveHeartbeatInterval(Tables.Config.HeartbeatInterval) {}
 
 PeerExchange::~PeerExchange() {
   this->Closing = true;
@@ -102,9 +102,9 @@
 
 wire::PeerRowT PeerExchange::ownRow() const {
   wire::PeerRowT Row;
-  Row.node = this->Tables.Me.Node.Text;
-  Row.incarnation = this->Tables.Me.Incarnation.Text;
-  Row.data_centre = this->Tables.Me.DataCentre.Text;
+  Row.node = this->Tables.Self.Node.Text;
+  Row.incarnation = this->Tables.Self.Incarnation.Text;
+  Row.data_centre = this->Tables.Self.DataCentre.Text;
   Row.host = this->Tables.Config.PeerListen.Host;
   Row.peer_port = this->Tables.Config.PeerListen.Port;
   Row.http_port = this->Tables.Config.Http.Port;
@@ -114,8 +114,8 @@
 
 std::uint32_t PeerExchange::ownFlags() const {
   std::uint32_t Flags = 0;
-  if (this->Tables.seesMembers(SystemClock{}.now()))
-    Flags |= SeesMembers;
+  if (this->Tables.hasFreshMemberState(SystemClock{}.now()))
+    Flags |= MembersFresh;
   if (this->Tables.Ready)
     Flags |= Serving;
   if (this->Tables.Stopping)
@@ -123,18 +123,18 @@
   return Flags;
 }
 
-wire::Heartbeat PeerExchange::ownBeat() {
+wire::Heartbeat PeerExchange::ownHeartbeat() {
   std::uint32_t Flags = this->ownFlags();
   this->SentFlags = Flags;
-  return {this->Tables.Me.Hash.Value, this->Fold.next().Value,
-          static_cast<std::uint32_t>(this->Beats.fetch_add(1) + 1),
+  return {this->Tables.Self.Hash.Value, this->Fold.next().Value,
+          static_cast<std::uint32_t>(this->HeartbeatCount.fetch_add(1) + 1),
           static_cast<std::uint16_t>(
               std::min(this->Tables.InFlight.load(), 65535U)),
           static_cast<std::uint16_t>(Flags)};
 }
 
 wire::GossipT PeerExchange::gossipFor(Link &To, TimePoint Now) {
-  bool Foreign = To.Centre != this->Tables.Me.DataCentre;
+  bool Foreign = To.Centre != this->Tables.Self.DataCentre;
   auto Fresh = [&](const ChangeMark &Mark) {
     return Mark.Count > To.SentUpTo && Mark.Link != To.Id;
   };
@@ -154,18 +154,18 @@
   });
   this->Tables.Peers.read([&](const PeerTable &Rows) {
     for (const auto &[Node, Row] : Rows.rows())
-      if (Node != this->Tables.Me.Hash && Fresh(Row.RowMark) && Row.Known)
+      if (Node != this->Tables.Self.Hash && Fresh(Row.RowMark) && Row.Known)
         News.peers.push_back(std::make_unique<wire::PeerRowT>(Row.Row));
   });
-  this->addBeats(To, Now, News);
+  this->addHeartbeats(To, Now, News);
   return News;
 }
 
 /// Heartbeats that the other end does not have yet. Other data centres hear
 /// those of relays only, and every data centre those from elsewhere at a
 /// slower pace: they serve to pass requests on, not to control groups.
-void PeerExchange::addBeats(Link &To, TimePoint Now, wire::GossipT &News) {
-  const DataCentreId &Here = this->Tables.Me.DataCentre;
+void PeerExchange::addHeartbeats(Link &To, TimePoint Now, wire::GossipT &News) {
+  const DataCentreId &Here = this->Tables.Self.DataCentre;
   bool Foreign = To.Centre != Here;
   std::vector<NodeHash> Relays = relaysOf(this->Tables.members(Now), Here);
   std::lock_guard Lock(To.Mutex);
@@ -175,10 +175,11 @@
       bool Wanted =
           !Foreign || Elsewhere ||
           std::find(Relays.begin(), Relays.end(), Node) != Relays.end();
-      if (Row.Sequence == 0 || !Wanted || Node == this->Tables.Me.Hash)
+      if (Row.Sequence == 0 || !Wanted || Node == this->Tables.Self.Hash)
         continue;
       std::uint64_t &Has = To.Has[Node];
-      std::uint64_t Pace = Has > 0 && (Elsewhere || Foreign) ? SlowPace : 1;
+      std::uint64_t Pace =
+          Has > 0 && (Elsewhere || Foreign) ? RemoteHeartbeatStride : 1;
       if (Row.Sequence < Has + Pace)
         continue;
       Has = Row.Sequence;
@@ -195,15 +196,15 @@
   WithHeartbeat |= this->ownFlags() != this->SentFlags;
   std::optional<wire::Heartbeat> Own;
   if (WithHeartbeat)
-    Own = this->ownBeat();
+    Own = this->ownHeartbeat();
   for (const LinkRef &Row : this->openLinks()) {
     std::uint64_t UpTo = this->Tables.Changes.load();
     wire::GossipT News = this->gossipFor(*Row, Now);
     if (Own)
       News.heartbeats.push_back(*Own);
-    if (Row->Centre == this->Tables.Me.DataCentre)
+    if (Row->Centre == this->Tables.Self.DataCentre)
       this->Tables.Vms.read([&](const VmTable &Vms) {
-        for (const auto &[Vm, Entry] : Vms.news())
+        for (const auto &[Vm, Entry] : Vms.leavingNotices())
           if (Entry.Mark.Count > Row->SentUpTo && Entry.Mark.Link != Row->Id) {
             auto Out = std::make_unique<wire::LeavingRowT>();
             Out->vm = Vm.Text;
@@ -215,8 +216,8 @@
     bool Empty = News.heartbeats.empty() && News.peers.empty() &&
                  News.health.empty() && News.leaving.empty();
     if (!Empty)
-      this->send(*Row, frameOf(this->Tables.Clock.tick(SystemClock{}.wall()),
-                               std::move(News)));
+      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                                 std::move(News)));
   }
 }
 
@@ -229,25 +230,27 @@
 
 /// Larger data centres need more hops, so silence has to last longer before it
 /// says anything.
-void PeerExchange::adaptToSize(TimePoint Now) {
+void PeerExchange::updateTimeouts(TimePoint Now) {
   std::size_t Here = this->Tables.controllers(Now).size();
-  long Hops = Here <= SmallCentre
+  long Hops = Here <= SmallDataCentreSize
                   ? 0
                   : std::lround(std::sqrt(static_cast<double>(Here)));
   // Many heartbeats a second would cost more than they tell.
-  Millis Config = this->Tables.Config.HeartbeatEvery;
+  Millis Config = this->Tables.Config.HeartbeatInterval;
   Millis Every = std::max(
       Config, static_cast<std::int64_t>(this->Tables.members(Now).size()) *
-                  BeatPerMember);
-  this->BeatEvery = Every;
-  Millis LiveFor = std::max(Millis(600), PeriodsSilent * Every + Hops * Config);
-  this->Tables.Peers.write([&](PeerTable &Rows) { Rows.LiveFor = LiveFor; });
+                  HeartbeatIntervalPerMember);
+  this->EffectiveHeartbeatInterval = Every;
+  Millis LivenessTimeout =
+      std::max(Millis(600), LivenessHeartbeats * Every + Hops * Config);
+  this->Tables.Peers.write(
+      [&](PeerTable &Rows) { Rows.LivenessTimeout = LivenessTimeout; });
 }
 
 void PeerExchange::tick(TimePoint Now) {
   ++this->Rounds;
   // 1. Who fell silent?
-  this->adaptToSize(Now);
+  this->updateTimeouts(Now);
   std::vector<NodeHash> Lost = this->Tables.Peers.write(
       [&](PeerTable &Rows) { return Rows.sweep(Now); });
   for (NodeHash Node : Lost) {
@@ -258,20 +261,21 @@
     this->Tables.Log.emit(EventCode::PeerLost, Name);
   }
   // 2. Speak.
-  bool Due = Now - this->LastBeat >= this->BeatEvery.load();
+  bool Due =
+      Now - this->LastHeartbeat >= this->EffectiveHeartbeatInterval.load();
   if (Due)
-    this->LastBeat = Now;
+    this->LastHeartbeat = Now;
   this->flush(Now, Due);
   // 3. Links and records.
-  this->dialWanted(Now);
-  this->askForRecords(Now);
-  this->askForVms();
-  this->forgetOldHealth();
+  this->updateLinks(Now);
+  this->requestRecords(Now);
+  this->requestVms();
+  this->removeStaleHealth();
   std::lock_guard Lock(this->Mutex);
   std::erase_if(this->Links, [](const LinkRef &Row) { return !Row->Open; });
 }
 
-void PeerExchange::forgetOldHealth() {
+void PeerExchange::removeStaleHealth() {
   std::vector<Fence> Gone;
   this->Tables.State.read([&](const FoldState &State) {
     this->Tables.Health.read([&](const HealthTable &Rows) {
@@ -288,10 +292,10 @@
     });
 }
 
-void PeerExchange::dialWanted(TimePoint Now) {
+void PeerExchange::updateLinks(TimePoint Now) {
   std::vector<LinkRef> Open = this->openLinks();
   std::vector<NodeHash> Wanted =
-      chooseLinks(this->Tables.Me.Hash, this->Tables.members(Now));
+      chooseLinks(this->Tables.Self.Hash, this->Tables.members(Now));
   auto Linked = [&](NodeHash Node) {
     return std::any_of(Open.begin(), Open.end(),
                        [&](const LinkRef &Row) { return Row->Other == Node; });
@@ -324,11 +328,11 @@
       break;
     }
   for (const Endpoint &Where : Targets)
-    if (this->Dialing < static_cast<int>(MaxDialing))
+    if (this->Dialing < static_cast<int>(MaxConcurrentDials))
       this->dial(Where);
   // 3. Links that this daemon opened and no longer wants.
   for (const LinkRef &Row : Open)
-    if (Row->Dialed && Now - Row->Since > UnwantedAfter &&
+    if (Row->Dialed && Now - Row->Since > UnwantedLinkTimeout &&
         std::find(Wanted.begin(), Wanted.end(), Row->Other) == Wanted.end()) {
       Row->Open = false;
       Row->Socket->shutdown();
@@ -352,8 +356,8 @@
       // The first frame says who dials; the answer, who was found.
       wire::GossipT Hello;
       Hello.peers.push_back(std::make_unique<wire::PeerRowT>(this->ownRow()));
-      this->send(*Row, frameOf(this->Tables.Clock.tick(SystemClock{}.wall()),
-                               std::move(Hello)));
+      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                                 std::move(Hello)));
     }
     --this->Dialing;
     if (Row)
@@ -370,7 +374,7 @@
   auto Row = std::make_shared<Link>();
   Row->Id = this->NextLink++;
   Row->Socket = std::make_unique<FrameSocket>(Socket, this->Tables.Counters);
-  absl::StatusOr<wire::FrameT> First = Row->Socket->receive(FirstFrameWithin);
+  absl::StatusOr<wire::FrameT> First = Row->Socket->receive(FirstFrameTimeout);
   if (!First.ok() || this->Closing)
     return;
   this->Tables.Clock.merge(First->clock);
@@ -383,8 +387,8 @@
     return;
   wire::GossipT Answer;
   Answer.peers.push_back(std::make_unique<wire::PeerRowT>(this->ownRow()));
-  this->send(*Row, frameOf(this->Tables.Clock.tick(SystemClock{}.wall()),
-                           std::move(Answer)));
+  this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                             std::move(Answer)));
   this->receiveGossip(*Row, *Hello);
   this->runLink(Row);
 }
@@ -397,16 +401,16 @@
       std::lock_guard Lock(this->Mutex);
       this->Links.push_back(Row);
       Listed = true;
-      this->Tables.Urgent.set();
+      this->Tables.GossipRequested.set();
     }
-    absl::StatusOr<wire::FrameT> Frame = Row->Socket->receive(LinkSilence);
+    absl::StatusOr<wire::FrameT> Frame = Row->Socket->receive(LinkIdleTimeout);
     if (!Frame.ok())
       break;
     this->Tables.Clock.merge(Frame->clock);
     if (const auto *News = Frame->message.AsGossip())
       this->receiveGossip(*Row, *News);
     else if (const auto *Asked = Frame->message.AsRecordsWanted())
-      this->answerRecords(*Row, *Asked);
+      this->sendRecords(*Row, *Asked);
     else if (const auto *Records = Frame->message.AsRecords())
       this->receiveRecords(*Records);
     else
@@ -428,7 +432,7 @@
     From.Other = hashNode(NodeId(News.peers[0]->node),
                           IncarnationId(News.peers[0]->incarnation));
     From.Centre = DataCentreId(News.peers[0]->data_centre);
-    if (From.Other == this->Tables.Me.Hash)
+    if (From.Other == this->Tables.Self.Hash)
       From.Open = false;
   }
   {
@@ -441,7 +445,7 @@
   // 2. Health and leaving VMs, which others should hear of at once.
   this->Tables.Vms.write([&](VmTable &Vms) {
     for (const auto &Row : News.leaving)
-      Urgent |= Vms.noteLeaving(VmId(Row->vm), WallMs(Row->until_ms), Mark());
+      Urgent |= Vms.recordLeaving(VmId(Row->vm), WallMs(Row->until_ms), Mark());
   });
   this->Tables.Health.write([&](HealthTable &Rows) {
     for (const auto &Row : News.health)
@@ -453,17 +457,17 @@
     for (const auto &Row : News.peers) {
       NodeHash Node =
           hashNode(NodeId(Row->node), IncarnationId(Row->incarnation));
-      if (Node != this->Tables.Me.Hash && Rows.put(*Row, Now, Mark()))
+      if (Node != this->Tables.Self.Hash && Rows.put(*Row, Now, Mark()))
         Joined.push_back(Row->node);
     }
     for (const auto &Beat : News.heartbeats)
-      if (NodeHash(Beat.node()) != this->Tables.Me.Hash)
-        Rows.hear(Beat, Now);
+      if (NodeHash(Beat.node()) != this->Tables.Self.Hash)
+        Rows.recordHeartbeat(Beat, Now);
   });
   for (const std::string &Name : Joined)
     this->Tables.Log.emit(EventCode::PeerJoined, Name);
   if (Urgent || !Joined.empty())
-    this->Tables.Urgent.set();
+    this->Tables.GossipRequested.set();
 }
 
 } // namespace waycove
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -15,8 +15,8 @@
 
 /// Follows the platform's registry of targets. \p Decode parses an entry.
 ///
-/// Entries that vanished while the store was away are retained until the hold
-/// time of the page ends; they may have lapsed or left, so requests go there
+/// Entries that vanished while the store was unavailable are retained until
+/// KeyedPage::RetainUntil; they may have lapsed or left, so requests go there
 /// only if no listed target serves. A late entry of an earlier incarnation is
 /// ignored. An entry that cannot be parsed removes the target of its key and
 /// does not affect others.
@@ -29,9 +29,9 @@
 public:
   RegistryFollower(EntryBoard &Board, Feed &Source, Decoder Decode)
       : Board(Board), Source(Source), Decode(std::move(Decode)),
-        Restored(Board.Config.Entry->TargetHeartbeat) {}
+        Restored(Board.Config.Entry->TargetHeartbeatInterval) {}
 
-  /// Applies what is new; waits a while for it.
+  /// Applies what is new; waits for it for up to PollTimeout.
   void step() {
     absl::StatusOr<KeyedPage> Page = this->Source.read(PollTimeout);
     if (!Page.ok())
@@ -39,9 +39,9 @@
     TimePoint Now = SystemClock{}.now();
     this->updateEra(Page->Next.Era, Now);
     if (Now >= this->SettledAt)
-      this->Board.RegistryFresh.renew(Page->ProvenAt, FreshDuration);
+      this->Board.RegistryLease.renew(Page->ProvenAt, FreshDuration);
     this->apply(*Page, Now);
-    this->Board.RegistryProven.raise(Page->ProvenAt);
+    this->Board.RegistryProvenAt.raise(Page->ProvenAt);
     this->updateAge(SystemClock{}.now() - Page->ProvenAt);
   }
 
@@ -49,8 +49,7 @@
   /// Interval at which retained entries and the age of the registry are checked
   /// when there are no changes.
   static constexpr Millis PollTimeout{300};
-  /// Groups are planned while the last proof is younger than this; leaves a
-  /// second for a slow store.
+  /// Groups are planned only while the last proof is younger than this.
   static constexpr Millis FreshDuration{3000};
   /// How long a removed target is remembered, so that the owner of its group
   /// can query it.
@@ -72,18 +71,18 @@
     this->IsFirstOfEra = this->HasApplied && Now > Before;
     if (!this->IsFirstOfEra)
       return;
-    this->SettledAt = At + FeedCache::LapseTime;
-    this->Board.RegistryFresh.drop();
+    this->SettledAt = At + FeedCache::RecoveryTimeout;
+    this->Board.RegistryLease.drop();
   }
 
   void apply(const KeyedPage &Page, TimePoint Now) {
     ParsedPage Read = this->parse(Page, Now);
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       this->addMissing(Read);
     for (TargetRef &Target : this->Restored.takeDue(Now))
       Read.Updated.push_back(std::move(Target));
     bool Changed = !Read.Updated.empty();
-    if (Now < Page.HoldUntil) {
+    if (Now < Page.RetainUntil) {
       Changed |= this->retain(std::exchange(Read.Dropped, {}), Page, Now);
     } else {
       Read.Dropped.merge(this->Retained);
@@ -111,8 +110,8 @@
         this->logRefused(Id, *Record.Value, messageOf(Read.status()));
         continue;
       }
-      this->StartTimesSeen |= Read->Born != WallMs();
-      if (Read->Born < this->newestStart(Id)) {
+      this->StartTimesSeen |= Read->StartedAt != WallMs();
+      if (Read->StartedAt < this->newestStart(Id)) {
         Out.Outdated.insert(Id);
         this->logRefused(Id, *Record.Value, "an earlier life's entry");
         continue;
@@ -126,7 +125,7 @@
       Out.Updated.push_back(
           std::make_shared<const TargetInfo>(std::move(*Read)));
     }
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       this->Restored.retainOnly(Out.Outdated);
     if (this->StartTimesSeen)
       this->refuseWithoutStart(Out);
@@ -161,7 +160,7 @@
   /// on which no target does are supported.
   void refuseWithoutStart(ParsedPage &Out) {
     std::erase_if(Out.Updated, [&](const TargetRef &Target) {
-      if (Target->Born != WallMs())
+      if (Target->StartedAt != WallMs())
         return false;
       Out.Refused.insert(Target->Id);
       this->logRefused(Target->Id, Target->Address.text(),
@@ -173,7 +172,7 @@
   void pruneRefused(const KeyedPage &Page, const ParsedPage &Read) {
     for (const TargetRef &Target : Read.Updated)
       this->RefusedValues.erase(Target->Id);
-    if (Page.Whole)
+    if (Page.IsSnapshot)
       std::erase_if(this->RefusedValues, [&](const auto &Entry) {
         return !Read.Refused.contains(Entry.first) &&
                !Read.Outdated.contains(Entry.first);
@@ -196,15 +195,15 @@
   WallMs newestStart(const VmId &Id) const {
     return this->Board.Targets.read([&](const Fleet &Rows) {
       if (auto At = Rows.Targets.find(Id); At != Rows.Targets.end())
-        return At->second->Born;
+        return At->second->StartedAt;
       auto Removed = Rows.Removed.find(Id);
       return Removed == Rows.Removed.end() ? WallMs()
-                                           : Removed->second.Last->Born;
+                                           : Removed->second.Last->StartedAt;
     });
   }
 
-  /// Retains targets whose entries vanished until the hold time ends; returns
-  /// whether there is a new one.
+  /// Retains targets whose entries vanished until KeyedPage::RetainUntil;
+  /// returns whether there is a new one.
   bool retain(const std::set<VmId> &Dropped, const KeyedPage &Page,
               TimePoint Now) {
     bool New = false;
@@ -212,11 +211,11 @@
       if (!this->isListed(Id) || !this->Retained.insert(Id).second)
         continue;
       New = true;
-      this->Board.Log.emit(
-          EventCode::TargetKept, Id.Text,
-          LogFields()
-              .add("registry", Page.Next.At.Value)
-              .add("for_ms", std::chrono::ceil<Millis>(Page.HoldUntil - Now)));
+      this->Board.Log.emit(EventCode::TargetKept, Id.Text,
+                           LogFields()
+                               .add("registry", Page.Next.At.Value)
+                               .add("for_ms", std::chrono::ceil<Millis>(
+                                                  Page.RetainUntil - Now)));
     }
     return New;
   }
@@ -251,7 +250,7 @@
                     TimePoint Now) {
     std::vector<VmId> RemovedIds;
     std::vector<std::pair<TargetRef, TargetRef>> Restarted;
-    std::vector<VmLife> Regrouped;
+    std::vector<VmIncarnation> Regrouped;
     this->Board.Targets.write([&](Fleet &Rows) {
       ++Rows.Version;
       Rows.Registry = Registry;
@@ -261,10 +260,10 @@
       });
       for (const TargetRef &Target : Updated) {
         TargetRef &Last = Rows.Targets[Target->Id];
-        if (Last && Last->Born != Target->Born)
+        if (Last && Last->StartedAt != Target->StartedAt)
           Restarted.emplace_back(Last, Target);
         else if (Last && groupOf(*Last) != groupOf(*Target))
-          Regrouped.push_back(Target->life());
+          Regrouped.push_back(Target->incarnation());
         Last = Target;
         Rows.Removed.erase(Target->Id);
       }
@@ -275,22 +274,22 @@
           RemovedIds.push_back(Id);
         }
     });
-    this->Board.Vitals.write([&](VitalsTable &Rows) {
-      for (const VmLife &Target : Regrouped)
+    this->Board.TargetStats.write([&](VitalsTable &Rows) {
+      for (const VmIncarnation &Target : Regrouped)
         Rows.onRegrouped(Target);
     });
     rebuildServingView(this->Board);
-    // All nodes find the same at their start, so only the first of each data
-    // centre logs every target: the lines would delay requests elsewhere.
+    // All nodes read the same entries at their start, so only the first node of
+    // each data centre logs every target.
     bool IsFirst = !std::exchange(this->HasApplied, true);
-    if (!IsFirst || this->Board.FirstOfCentre)
+    if (!IsFirst || this->Board.FirstInCentre)
       for (const TargetRef &Target : Updated)
         this->logTarget(*Target, Registry);
     for (const auto &[Last, Target] : Restarted)
       this->Board.Log.emit(EventCode::TargetReborn, Target->Id.Text,
                            LogFields()
-                               .add("born", Target->Born.Value)
-                               .add("before", Last->Born.Value)
+                               .add("born", Target->StartedAt.Value)
+                               .add("before", Last->StartedAt.Value)
                                .add("registry", Registry.At.Value));
     for (const VmId &Id : RemovedIds)
       this->Board.Log.emit(EventCode::TargetGone, Id.Text,
@@ -307,7 +306,7 @@
         .add("address", Target.Address.text())
         .add("domain", Target.Domain.Text)
         .add("draining", Target.Draining)
-        .add("born", Target.Born.Value)
+        .add("born", Target.StartedAt.Value)
         .add("registry", Registry.At.Value);
     std::string Staged;
     for (const std::string &Model : Target.Staged)
--- a/src/control/store_reader.h
+++ b/src/control/store_reader.h
@@ -23,10 +23,16 @@
 /// cache alone, so a call that hangs does not keep updates of other nodes from
 /// them.
 ///
+/// A proof is a time as of which the store is known to have held nothing newer
+/// than this node's copy (KeyedPage::ProvenAt). The operators' configuration
+/// bound, and for API keys the revocation bound, limits the age of the last
+/// proof of the configuration; the drain bound limits that of the registry. The
+/// directory has no bound.
+///
 /// One thread reads regularly (step). A second one (watch) checks the age of
-/// what is known: when it exceeds EntryBoard::mostAge while the call of the
-/// first one hangs, it reads over a new connection. A dead connection thus
-/// costs that age and one call rather than its timeouts.
+/// what is known: when it exceeds EntryBoard::maxAge while the call of the
+/// first one hangs, it reads over a new connection instead of waiting until the
+/// old one times out.
 template <StoreFeed Feed> class StoreReader {
 public:
   /// \p Open opens a connection to the feed at the store.
@@ -42,9 +48,10 @@
       return FillPollInterval;
     if (this->awaitsFullPage(Now))
       return FillPollInterval;
-    std::atomic<bool> &LeftOut = this->Board.state(this->Kind).LeftOut;
-    bool Waited = !LeftOut && this->waitForUpstream(Now);
-    bool Whole = LeftOut.exchange(false);
+    std::atomic<bool> &RecordsOmitted =
+        this->Board.feedState(this->Kind).RecordsOmitted;
+    bool Waited = !RecordsOmitted && this->waitForUpstream(Now);
+    bool Whole = RecordsOmitted.exchange(false);
     if (Waited && !Whole && !this->mustRead(SystemClock{}.now()))
       return Millis(0);
     if (Waited)
@@ -59,7 +66,7 @@
   /// Reads over a new connection if the call of step() hangs and what is known
   /// is too old; returns the pause before the next check.
   Millis watch() {
-    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
+    std::optional<Millis> MaxAge = this->Board.maxAge(this->Kind);
     if (!MaxAge || !this->Cache.next())
       return IdlePollInterval;
     TimePoint Now = SystemClock{}.now();
@@ -75,15 +82,15 @@
 
 private:
   /// Part of a feed's bound between two proofs of a node that reads for others;
-  /// leaves time for three hops between nodes before mostAge.
+  /// leaves time for three hops between nodes before maxAge.
   static constexpr double ReaderProofPart = 0.3;
-  /// A single node reads this long before mostAge.
+  /// A single node reads this long before maxAge.
   static constexpr Millis SingleNodeMargin{100};
   /// Interval between proofs of a feed without a bound.
   static constexpr Millis UnboundedWait{4000};
   /// Part of the revocation bound between two proofs of the configuration. Two
-  /// reads, the follower's margin and slow responses have to fit into the
-  /// bound.
+  /// of these intervals, ConfigFollower::ProofMargin and the response times of
+  /// the store have to fit into the bound.
   static constexpr double ConfigProofPart = 0.3;
   /// Delay after a read of the registry, so that changes that come together
   /// share a call. Short, since owners wait for the effect of their orders.
@@ -130,13 +137,13 @@
     if (this->Kind == FeedKind::Nodes)
       return this->Board.Config.Entry->FirstStart &&
              Now - this->StartTime < StartSpread;
-    return this->Board.FillAwaited.holds(Now);
+    return this->Board.InitialFillLease.holds(Now);
   }
   /// The store was restored from an older copy, so the whole feed has to be
   /// read. The first node of each data centre does so at once, and the others
   /// get it from there; each reads the small configuration itself.
   void onRestore(StoreEra Era, TimePoint Now) {
-    bool First = this->Board.FirstOfCentre || this->Board.NodesKnown <= 1 ||
+    bool First = this->Board.FirstInCentre || this->Board.KnownNodeCount <= 1 ||
                  this->Kind == FeedKind::Config;
     TimePoint Due = First ? Now : Now + FullPageTimeout;
     this->FullPageDue = Due.time_since_epoch().count();
@@ -150,11 +157,12 @@
            Now.time_since_epoch().count() < this->FullPageDue;
   }
   bool isOverdue(TimePoint Now) const {
-    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
+    std::optional<Millis> MaxAge = this->Board.maxAge(this->Kind);
     return MaxAge && Now - this->Cache.provenAt() >= *MaxAge;
   }
   bool mustRead(TimePoint Now) const {
-    return !this->Board.Relayed || !this->Cache.next() || this->isOverdue(Now);
+    return !this->Board.HasUpstream || !this->Cache.next() ||
+           this->isOverdue(Now);
   }
 
   /// Waits while an upstream node reads the feed for this one; returns whether
@@ -162,18 +170,19 @@
   bool waitForUpstream(TimePoint Now) {
     if (this->mustRead(Now))
       return false;
-    std::optional<Millis> MaxAge = this->Board.mostAge(this->Kind);
-    this->Cache.waitWake(MaxAge ? this->Cache.provenAt() + *MaxAge
-                                : Now + UnboundedWait);
+    std::optional<Millis> MaxAge = this->Board.maxAge(this->Kind);
+    this->Cache.waitForWake(MaxAge ? this->Cache.provenAt() + *MaxAge
+                                   : Now + UnboundedWait);
     return true;
   }
 
   /// How long the store may wait for a change, so that the next proof comes in
-  /// time; a proof that comes with records is as old as its request. Zero while
-  /// others may not rely on this node: one that takes over from another reader
-  /// needs a proof at once, or each other node would read the store itself.
+  /// time. A response with records proves only the time at which the request
+  /// was sent. Zero while others may not rely on this node: one that takes over
+  /// from another reader needs a proof at once, or each other node would read
+  /// the store itself.
   Millis pollTimeout(TimePoint Now) const {
-    if (!this->Board.mayTell(this->Kind, Now))
+    if (!this->Board.canServeFeed(this->Kind, Now))
       return Millis(0);
     Millis Interval = this->proofInterval(Now);
     auto Remaining = std::chrono::duration_cast<Millis>(this->Cache.provenAt() +
@@ -182,24 +191,26 @@
   }
 
   Millis proofInterval(TimePoint Now) const {
-    std::optional<Millis> Bound = this->Board.boundOf(this->Kind);
+    std::optional<Millis> Bound = this->Board.freshnessBound(this->Kind);
     if (!Bound)
       return UnboundedWait;
-    bool IsReader = this->Board.servesNews(Now) || this->Board.NodesKnown > 1;
+    bool IsReader =
+        this->Board.hasDownstream(Now) || this->Board.KnownNodeCount > 1;
     Millis Interval = IsReader
-                          ? EntryBoard::partOf(*Bound, ReaderProofPart)
-                          : *this->Board.mostAge(this->Kind) - SingleNodeMargin;
+                          ? EntryBoard::fractionOf(*Bound, ReaderProofPart)
+                          : *this->Board.maxAge(this->Kind) - SingleNodeMargin;
     if (this->Kind == FeedKind::Config)
-      Interval = std::min(
-          Interval, EntryBoard::partOf(this->Board.Config.Entry->RevokeBound,
-                                       ConfigProofPart));
+      Interval =
+          std::min(Interval,
+                   EntryBoard::fractionOf(this->Board.Config.Entry->RevokeBound,
+                                          ConfigProofPart));
     return std::max(Interval, Millis(0));
   }
 
   Millis batchDelay(CallCause Cause) const {
-    if (Cause == CallCause::Start && this->Board.NodesKnown > 1)
+    if (Cause == CallCause::Start && this->Board.KnownNodeCount > 1)
       return StartDelay;
-    if (Cause == CallCause::Alone && this->Board.Share == 0)
+    if (Cause == CallCause::Alone && this->Board.PartitionShare == 0)
       return IdleBatchDelay;
     switch (this->Kind) {
     case FeedKind::Registry:
@@ -222,25 +233,27 @@
     }
   }
 
-  CallCause causeOf(const Connection &Link, TimePoint Now, bool LeftOut) const {
+  CallCause causeOf(const Connection &Link, TimePoint Now,
+                    bool RecordsOmitted) const {
     if (Link.Failed)
       return CallCause::Retry;
     if (Link.HistoryGone || this->isRestored(this->Cache.next()))
       return CallCause::HistoryGone;
     if (!this->Cache.next())
       return CallCause::Start;
-    if (LeftOut)
+    if (RecordsOmitted)
       return CallCause::Large;
-    if (this->Board.Relayed || &Link == &this->Backup)
+    if (this->Board.HasUpstream || &Link == &this->Backup)
       return CallCause::Aged;
-    return this->Board.servesNews(Now) ? CallCause::Duty : CallCause::Alone;
+    return this->Board.hasDownstream(Now) ? CallCause::Duty : CallCause::Alone;
   }
 
-  Millis read(Connection &Link, Millis Wait, bool LeftOut) {
+  Millis read(Connection &Link, Millis Wait, bool RecordsOmitted) {
     std::optional<StorePosition> From = this->Cache.next();
     TimePoint SentAt = SystemClock{}.now();
-    CallCause Cause = this->causeOf(Link, SentAt, LeftOut);
-    bool Whole = LeftOut || Link.HistoryGone || !From || this->isRestored(From);
+    CallCause Cause = this->causeOf(Link, SentAt, RecordsOmitted);
+    bool Whole =
+        RecordsOmitted || Link.HistoryGone || !From || this->isRestored(From);
     absl::StatusOr<KeyedPage> Page =
         Whole ? Link.Store.newest() : Link.Store.follow(*From, Wait);
     Link.Failed = !Page.ok();
@@ -265,7 +278,7 @@
     Link.HistoryGone = false;
     Link.RetryBackoff.reset();
     for (const KeyedRecord &Record : Page->Records)
-      Page->Versions.Shown = std::max(Page->Versions.Shown, Record.Version);
+      Page->Versions.Current = std::max(Page->Versions.Current, Record.Version);
     this->onSuccess(*Page, SentAt, Now);
     return this->batchDelay(Cause);
   }
@@ -277,14 +290,14 @@
       return Millis(0);
     }
     std::lock_guard Lock(this->Mutex);
-    this->Board.state(this->Kind).ReadFailed = true;
+    this->Board.feedState(this->Kind).ReadFailed = true;
     if (std::exchange(this->Up, false))
       this->Board.Log.emit(
           EventCode::LogUnreachable, std::string(feedName(this->Kind)),
           LogFields()
               .add("reason", messageOf(Why))
               .add("after_ms", std::chrono::ceil<Millis>(Now - SentAt)));
-    ProbePace Pace = this->Board.storePace();
+    ProbePace Pace = this->Board.storeProbePace();
     int Factor = this->Kind == FeedKind::Nodes ? DirectoryBackoffFactor : 1;
     return Link.RetryBackoff.next(Pace.Least * Factor, Pace.Most * Factor);
   }
@@ -302,7 +315,7 @@
 
   void onSuccess(KeyedPage &Page, TimePoint SentAt, TimePoint Now) {
     std::lock_guard Lock(this->Mutex);
-    this->Board.state(this->Kind).ReadFailed = false;
+    this->Board.feedState(this->Kind).ReadFailed = false;
     if (!std::exchange(this->Up, true))
       this->Board.Log.emit(EventCode::LogReachable,
                            std::string(feedName(this->Kind)));
@@ -310,13 +323,13 @@
     // the copy from which the store was restored.
     TimePoint Proven = this->Cache.provenAt();
     bool WasAway =
-        Proven != TimePoint() && SentAt - Proven > FeedCache::AwayGap;
+        Proven != TimePoint() && SentAt - Proven > FeedCache::OutageThreshold;
     std::optional<StorePosition> Known = this->Cache.next();
     bool Restored = Known && Page.Next.Era > Known->Era;
     if (WasAway || Restored)
-      Page.HoldUntil = Now + FeedCache::LapseTime;
+      Page.RetainUntil = Now + FeedCache::RecoveryTimeout;
     applyFeedPage(this->Board, this->Kind, Page, "store", Now);
-    this->Board.state(this->Kind).OwnProof.raise(Page.ProvenAt);
+    this->Board.feedState(this->Kind).OwnProvenAt.raise(Page.ProvenAt);
   }
 
   EntryBoard &Board;
--- a/src/control/vmwatch.h
+++ b/src/control/vm_list_follower.h
@@ -11,19 +11,20 @@
 
 /// Follows the platform's list of this data centre's VMs, and tells peers of
 /// VMs that leave.
-template <VmList List> class VmWatch {
+template <VmList List> class VmListFollower {
 public:
-  VmWatch(Board &Tables, List &Platform) : Tables(Tables), Platform(Platform) {}
+  VmListFollower(Board &Tables, List &Platform)
+      : Tables(Tables), Platform(Platform) {}
 
   /// One question to the list. False where it did not answer.
   bool step() {
     std::uint64_t Since =
         this->Tables.Vms.read([](const VmTable &Vms) { return Vms.Version; });
     absl::StatusOr<VmPage> Page =
-        this->Platform.list(this->Tables.Me.DataCentre, Since);
+        this->Platform.list(this->Tables.Self.DataCentre, Since);
     // After a restore, what changed since a version of before says nothing.
     if (Page.ok() && eraOf(Page->Version) > eraOf(Since) && !Page->Whole)
-      Page = this->Platform.list(this->Tables.Me.DataCentre, 0);
+      Page = this->Platform.list(this->Tables.Self.DataCentre, 0);
     if (!Page.ok())
       return false;
     // The list lags, and may come from a replica that lags more.
@@ -41,28 +42,28 @@
     this->Tables.Vms.write([&](VmTable &Vms) {
       if (Page.Whole)
         Changed |= this->removeAbsent(Vms, Page);
-      for (const VmInfo &Row : Page.Rows) {
+      for (const VmInfo &Row : Page.Vms) {
         Changed |= Vms.put(Row);
         if (Row.ListedLeaving &&
-            Vms.noteLeaving(Row.Id, Until, this->Tables.markHere()))
+            Vms.recordLeaving(Row.Id, Until, this->Tables.nextLocalMark()))
           Leaving.push_back(Row.Id);
       }
-      for (const VmId &Vm : Page.Gone)
+      for (const VmId &Vm : Page.Removed)
         Changed |= Vms.remove(Vm);
       Vms.Version = Page.Version;
-      Vms.sweepNews(SystemClock{}.wall());
+      Vms.expireNotices(SystemClock{}.wall());
     });
     this->Tables.VmsKnown = true;
     for (const VmId &Vm : Leaving)
       this->Tables.Log.emit(EventCode::VmLeaving, Vm.Text, "listed");
     if (!Leaving.empty())
-      this->Tables.Urgent.set();
+      this->Tables.GossipRequested.set();
     if (Changed)
       this->Tables.RoutingVersion.fetch_add(1);
   }
 
   static bool isListed(const VmPage &Page, const VmId &Vm) {
-    return std::any_of(Page.Rows.begin(), Page.Rows.end(),
+    return std::any_of(Page.Vms.begin(), Page.Vms.end(),
                        [&](const VmInfo &Row) { return Row.Id == Vm; });
   }
 
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -60,7 +60,7 @@
 
   /// Throws Poco::Exception if an address is in use.
   void start() {
-    this->Board.FillAwaited.renew(
+    this->Board.InitialFillLease.renew(
         SystemClock{}.now(),
         this->Board.Config.Entry->FirstStart ? FirstFillTimeout : FillTimeout);
     this->Ready.start(this->Board.Config.Entry->Ready);
@@ -143,7 +143,7 @@
   /// allow unproven keys, so that callers are served while the store is away.
   bool mayUseKeys() const {
     return !this->Board.Config.Entry->RevokeFailClosed ||
-           this->Board.ConfigFresh.holds(SystemClock{}.now());
+           this->Board.ConfigLease.holds(SystemClock{}.now());
   }
 
   /// Whether the node can serve: it may use its keys and has serving targets,
@@ -167,18 +167,19 @@
   /// Discards what is kept about targets that are no longer listed, and lets
   /// the demand decay.
   void sweep() {
-    std::set<VmLife> Listed = this->Board.Targets.read([](const Fleet &Known) {
-      std::set<VmLife> Incarnations;
-      for (const auto &[Id, Target] : Known.Targets)
-        Incarnations.insert(Target->life());
-      return Incarnations;
-    });
-    auto IsListed = [&](const VmLife &Target) {
+    std::set<VmIncarnation> Listed =
+        this->Board.Targets.read([](const Fleet &Known) {
+          std::set<VmIncarnation> Incarnations;
+          for (const auto &[Id, Target] : Known.Targets)
+            Incarnations.insert(Target->incarnation());
+          return Incarnations;
+        });
+    auto IsListed = [&](const VmIncarnation &Target) {
       return Listed.contains(Target);
     };
     this->Pool.sweep(IsListed, SystemClock{}.now());
-    this->Board.Vitals.write(
-        [&](VitalsTable &Vitals) { Vitals.forget(IsListed); });
+    this->Board.TargetStats.write(
+        [&](VitalsTable &TargetStats) { TargetStats.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Table) {
       for (auto &[Model, Demand] : Table)
         Demand = Demand.scaled(DemandDecay);
@@ -189,7 +190,7 @@
 
   /// Logs how many calls to the store were made, and why, if any were.
   void logStoreCalls() {
-    std::uint64_t Calls = this->Board.Counters.Calls.sum();
+    std::uint64_t Calls = this->Board.Counters.Calls.total();
     if (std::exchange(this->LoggedCalls, Calls) != Calls)
       this->Board.Log.emit(EventCode::StoreCallsMade,
                            this->Board.Config.Node.Text,
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -27,7 +27,7 @@
   /// the connection may carry another request.
   bool serve(Channel &Caller, RelayRequest Request) {
     this->Board.InFlight.fetch_add(1);
-    this->Board.Requested = true;
+    this->Board.RequestSeen = true;
     bool KeepAlive = Request.Head.getKeepAlive() && !this->Board.Stopping;
     CallerResponse Response(Caller, KeepAlive,
                             Request.Head.getMethod() != "HEAD");
@@ -95,7 +95,7 @@
                      TimePoint SelectedAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
-    const VmLife Target = To.Target->life();
+    const VmIncarnation Target = To.Target->incarnation();
     Ex.Progress.Tried.push_back(Target.Id);
     if (!this->connect(Ex, Attempt)) {
       this->Log.suspectTarget(Target, UnreachableDuration, Attempt.Reason,
@@ -111,16 +111,16 @@
     }
     auto Prompt = static_cast<double>(Ex.Request.Info.PromptTokens);
     Attempt.LastByte = Attempt.SentAt;
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onStart(Target, Prompt, Attempt.SentAt);
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onStart(Target, Prompt, Attempt.SentAt);
     });
     AttemptEnd End = this->exchange(Ex, Attempt);
     this->Policy.recordOutcome(Ex.Request, Attempt, End, SystemClock{}.now());
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onEnd(Target, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onEnd(Target, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
       if (End != AttemptEnd::CallerGone)
-        Vitals.onOutcome(Target, End == AttemptEnd::Broken,
-                         SystemClock{}.now());
+        TargetStats.onOutcome(Target, End == AttemptEnd::Broken,
+                              SystemClock{}.now());
     });
     // Bytes that were not delivered must not reach the target later, when it
     // may have left the registry. Only a reset discards them.
@@ -134,7 +134,8 @@
     // The target may be closing an idle connection at this moment. A request
     // that must not be repeated therefore gets a new connection.
     if (Ex.Request.Route->mayRepeat())
-      Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
+      Attempt.Connection =
+          this->Pool.take(Attempt.To.Target->incarnation(), Now);
     if (Attempt.Connection)
       return true;
     IoStatus Status =
@@ -228,7 +229,7 @@
   }
 
   void refuse(RelayExchange Ex, const absl::Status &Error) {
-    const ErrorAnswer &Template = answerFor(kindOf(Error));
+    const ErrorResponse &Template = responseFor(kindOf(Error));
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Template.HttpStatus));
     Out.setContentType("application/json");
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -31,15 +31,16 @@
 
 } // namespace
 
-void RelayLog::suspectTarget(const VmLife &Target, Millis Duration,
+void RelayLog::suspectTarget(const VmIncarnation &Target, Millis Duration,
                              const std::string &Reason,
                              const RequestId &Cause) {
   TimePoint Now = SystemClock{}.now();
-  bool NewlySuspected = this->Board.Vitals.write([&](VitalsTable &Vitals) {
-    bool IsNew = Vitals.of(Target).SuspectUntil <= Now;
-    Vitals.suspect(Target, Now, Duration);
-    return IsNew;
-  });
+  bool NewlySuspected =
+      this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+        bool IsNew = TargetStats.of(Target).SuspectUntil <= Now;
+        TargetStats.suspect(Target, Now, Duration);
+        return IsNew;
+      });
   if (!NewlySuspected)
     return;
   this->Board.Counters.add(Counter::TargetsSuspected);
@@ -65,7 +66,7 @@
                            AttemptEnd End) {
   this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
                                                    : Counter::RequestsCut);
-  this->Board.Counters.observe(Timer::Whole,
+  this->Board.Counters.observe(Timer::WholeResponse,
                                SystemClock{}.now() - Ex.Request.ArrivedAt);
   if (End == AttemptEnd::Done)
     this->Board.Log.emit(
@@ -92,7 +93,7 @@
 
 void RelayLog::requestRefused(const RelayExchange &Ex,
                               const absl::Status &Error) {
-  const ErrorAnswer &Template = answerFor(kindOf(Error));
+  const ErrorResponse &Template = responseFor(kindOf(Error));
   this->Board.Counters.add(Counter::RequestsRefused);
   this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
                        requestFields(Ex)
--- a/src/entry/relay_log.h
+++ b/src/entry/relay_log.h
@@ -16,7 +16,7 @@
 
   /// Marks the target as suspected for \p Duration and logs it if it was not
   /// suspected before. \p Cause is the request that showed the fault.
-  void suspectTarget(const VmLife &Target, Millis Duration,
+  void suspectTarget(const VmIncarnation &Target, Millis Duration,
                      const std::string &Reason, const RequestId &Cause);
   /// An attempt ended without a whole response.
   void attemptEnded(const RelayExchange &Ex, const RelayAttempt &Attempt);
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -30,7 +30,7 @@
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Config = *this->Board.Config.Entry;
-  this->Board.Spend.write([&](SpendTable &Limits) {
+  this->Board.RetryLimiters.write([&](RetryLimiterTable &Limits) {
     Limits
         .try_emplace(Service,
                      RetryAllowance{Config.RetryRatio, Config.RetrySlack,
@@ -79,7 +79,7 @@
                                 TimePoint Now) {
   if (End == AttemptEnd::Broken && Attempt.ConnectionLost)
     this->Board.Crashes.write([&](CrashBlame &Crashes) {
-      Crashes.noteLost(Request.Content, Attempt.To.Target->life(), Now);
+      Crashes.noteLost(Request.Content, Attempt.To.Target->incarnation(), Now);
     });
   else if (End == AttemptEnd::Done && Attempt.Succeeded)
     this->Board.Crashes.write(
@@ -90,7 +90,7 @@
                                                   const RelayProgress &Progress,
                                                   TimePoint Now) {
   // Read before the view, so that the age is never understated.
-  TimePoint ProvenAt = this->Board.RegistryProven.get();
+  TimePoint ProvenAt = this->Board.RegistryProvenAt.get();
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &View) { return View; });
   auto Targets = View->ByService.find(Request.Service);
@@ -107,10 +107,10 @@
   Query.Now = Now;
   Query.RegistryOld = RegistryOld;
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
-  return this->Board.Vitals.read(
-      [&](const VitalsTable &Vitals) -> std::optional<SelectedTarget> {
+  return this->Board.TargetStats.read(
+      [&](const VitalsTable &TargetStats) -> std::optional<SelectedTarget> {
         const ServingTarget *Best =
-            chooseTarget(Targets->second, Vitals, Query);
+            chooseTarget(Targets->second, TargetStats, Query);
         if (!Best)
           return std::nullopt;
         return SelectedTarget{
@@ -144,22 +144,22 @@
     return false;
   std::optional<SelectedTarget> Other = this->choose(Request, After, Now);
   return Other && this->hasRetryLeft(Request.Service, Now) &&
-         this->Board.Vitals.read([&](const VitalsTable &Vitals) {
-           return !Vitals.isSuspect(Other->To.Target->life(), Now);
+         this->Board.TargetStats.read([&](const VitalsTable &TargetStats) {
+           return !TargetStats.isSuspect(Other->To.Target->incarnation(), Now);
          });
 }
 
 bool RelayPolicy::hasRetryLeft(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  return this->Board.Spend.write([&](SpendTable &Limits) {
+  double Share = this->Board.perNodeShare();
+  return this->Board.RetryLimiters.write([&](RetryLimiterTable &Limits) {
     auto At = Limits.find(Service);
     return At != Limits.end() && At->second.allows(Share, Now);
   });
 }
 
 bool RelayPolicy::takeRetry(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  bool Taken = this->Board.Spend.write([&](SpendTable &Limits) {
+  double Share = this->Board.perNodeShare();
+  bool Taken = this->Board.RetryLimiters.write([&](RetryLimiterTable &Limits) {
     auto At = Limits.find(Service);
     return At != Limits.end() && At->second.take(Share, Now);
   });
--- a/src/entry/response_forwarder.h
+++ b/src/entry/response_forwarder.h
@@ -79,15 +79,16 @@
       if (this->Waiter.readBody(Ex, Attempt, Body, Unused) == AttemptEnd::Done)
         this->returnConnection(Ex, Attempt, Head, Info, Body);
       Attempt.Reason = "not taken, status " + std::to_string(Status);
-      this->Log.suspectTarget(Attempt.To.Target->life(),
+      this->Log.suspectTarget(Attempt.To.Target->incarnation(),
                               Info.WrongTarget ? WrongTargetDuration
                                                : DeclinedDuration,
                               Attempt.Reason, Ex.Request.Info.Id);
       return AttemptEnd::Refused;
     }
     this->recordFirstByte(Ex, Attempt);
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onAnswerHead(Attempt.To.Target->life(), !Head.getKeepAlive());
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onAnswerHead(Attempt.To.Target->incarnation(),
+                               !Head.getKeepAlive());
     });
     bool Success = Status >= 200 && Status < 300;
     Attempt.Succeeded = Success;
@@ -136,8 +137,9 @@
       std::string Ready;
       bool InOrder = extractEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
-        this->Board.Vitals.write([&](VitalsTable &Vitals) {
-          Vitals.onProgress(Attempt.To.Target->life(), Attempt.LastByte);
+        this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+          TargetStats.onProgress(Attempt.To.Target->incarnation(),
+                                 Attempt.LastByte);
         });
       // LastEvent already includes these events, so they are sent even if the
       // next one is out of order.
@@ -224,10 +226,10 @@
                         const BodyDecoder &Body) {
     if (!Head.getKeepAlive() || Body.kind() == Framing::UntilClose)
       return;
-    const VmLife Target = Attempt.To.Target->life();
+    const VmIncarnation Target = Attempt.To.Target->incarnation();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
     unsigned Max = keptConnections(Spec ? Spec->MaxConnections : 1,
-                                   this->Board.evenShare(),
+                                   this->Board.perNodeShare(),
                                    this->Board.Config.Node, Target.Id);
     this->Pool.put(Target, std::move(*Attempt.Connection),
                    Info.KeepAlive.value_or(Millis(0)), Max,
@@ -241,10 +243,10 @@
     if (!Ex.Progress.FirstByte)
       Ex.Progress.FirstByte =
           std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt);
-    this->Board.Vitals.write([&](VitalsTable &Vitals) {
-      Vitals.onFirstByte(Attempt.To.Target->life(), Attempt.SentAt,
-                         static_cast<double>(Ex.Request.Info.PromptTokens),
-                         Now);
+    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
+      TargetStats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
+                              static_cast<double>(Ex.Request.Info.PromptTokens),
+                              Now);
     });
     this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.ArrivedAt);
   }
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -70,8 +70,9 @@
     }
     if (this->isUnresponsive(Ex, Attempt, Now) &&
         this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
-      this->Log.suspectTarget(Attempt.To.Target->life(), UnresponsiveDuration,
-                              Attempt.Reason, Ex.Request.Info.Id);
+      this->Log.suspectTarget(Attempt.To.Target->incarnation(),
+                              UnresponsiveDuration, Attempt.Reason,
+                              Ex.Request.Info.Id);
       return AttemptEnd::Stalled;
     }
     // Check again later: reports of other nodes may show that it is stalled.
@@ -110,12 +111,13 @@
 bool ResponseWait::isUnresponsive(const RelayExchange &Ex,
                                   RelayAttempt &Attempt, TimePoint Now) {
   const HttpRoute &Route = *Ex.Request.Route;
-  const VmLife Target = Attempt.To.Target->life();
+  const VmIncarnation Target = Attempt.To.Target->incarnation();
   Observation Observed =
-      this->Board.Vitals.read([&](const VitalsTable &Vitals) {
+      this->Board.TargetStats.read([&](const VitalsTable &TargetStats) {
         return Observation{
-            Vitals.standsStill(Target, Now), Vitals.silence(Target, Now),
-            Vitals.hasNews(Now) ? 0 : Vitals.of(Target).FirstByteMs};
+            TargetStats.standsStill(Target, Now),
+            TargetStats.silence(Target, Now),
+            TargetStats.hasNews(Now) ? 0 : TargetStats.of(Target).FirstByteMs};
       });
   Millis Goal = Attempt.FirstByteSeen ? Route.PauseGoal : Route.Goal;
   Millis Patience = std::max(MinPatience, 2 * Goal);
--- a/src/entry/target_connection_pool.cpp
+++ b/src/entry/target_connection_pool.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::optional<Channel> TargetConnectionPool::take(const VmLife &Target,
+std::optional<Channel> TargetConnectionPool::take(const VmIncarnation &Target,
                                                   TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   auto At = this->ByTarget.find(Target);
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-void TargetConnectionPool::put(const VmLife &Target, Channel Connection,
+void TargetConnectionPool::put(const VmIncarnation &Target, Channel Connection,
                                Millis KeepAlive, unsigned Max, TimePoint Now) {
   Millis IdleTime =
       KeepAlive.count() > 0 ? KeepAlive - IdleTimeMargin : DefaultIdleTime;
@@ -47,7 +47,7 @@
 }
 
 void TargetConnectionPool::sweep(
-    const std::function<bool(const VmLife &)> &IsListed, TimePoint Now) {
+    const std::function<bool(const VmIncarnation &)> &IsListed, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   for (auto At = this->ByTarget.begin(); At != this->ByTarget.end();) {
     std::deque<IdleConnection> &Connections = At->second;
--- a/src/entry/target_connection_pool.h
+++ b/src/entry/target_connection_pool.h
@@ -18,15 +18,15 @@
 class TargetConnectionPool {
 public:
   /// Takes an idle connection that is still usable, if there is one.
-  std::optional<Channel> take(const VmLife &Target, TimePoint Now);
+  std::optional<Channel> take(const VmIncarnation &Target, TimePoint Now);
   /// Adds a connection whose last response was complete. \p KeepAlive is the
   /// target's idle timeout, 0 if unknown. If there are more than \p Max to this
   /// target, the oldest is closed.
-  void put(const VmLife &Target, Channel Connection, Millis KeepAlive,
+  void put(const VmIncarnation &Target, Channel Connection, Millis KeepAlive,
            unsigned Max, TimePoint Now);
   /// Closes connections that were idle too long and those to targets that are
   /// not listed.
-  void sweep(const std::function<bool(const VmLife &)> &IsListed,
+  void sweep(const std::function<bool(const VmIncarnation &)> &IsListed,
              TimePoint Now);
 
 private:
@@ -35,7 +35,7 @@
     TimePoint GoodUntil;
   };
   std::mutex Mutex;
-  std::map<VmLife, std::deque<IdleConnection>> ByTarget;
+  std::map<VmIncarnation, std::deque<IdleConnection>> ByTarget;
 };
 
 } // namespace waycove
--- a/tests/failure/rebirth_test.cpp
+++ b/tests/failure/rebirth_test.cpp
@@ -72,11 +72,11 @@
   TargetInfo Target;
   Target.Id = VmId("e-1");
   Target.Address = {"127.0.0.1", this->Run.vmPort("e-1")};
-  Target.Born = WallMs(1);
+  Target.StartedAt = WallMs(1);
   // The registry lists an earlier start time than the process reports.
   CHECK(Control.probe(Target) == Reachability::ProcessEnded);
   CHECK(Control.queryStatus(Target) == MemberStatus::Dead);
-  Target.Born = WallMs();
+  Target.StartedAt = WallMs();
   CHECK(Control.probe(Target) == Reachability::Reachable);
   auto Other = std::make_shared<TargetInfo>(Target);
   Other->Id = VmId("another");
--- a/tests/unit/domain_views_test.cpp
+++ b/tests/unit/domain_views_test.cpp
@@ -26,7 +26,7 @@
     }
     this->Config.Services[Spec.Id] = Spec;
     for (std::uint64_t Partition = 0;
-         Partition < this->Board.Config.Entry->WorkParts; ++Partition)
+         Partition < this->Board.Config.Entry->PartitionCount; ++Partition)
       this->Assignment.Partitions.push_back(Partition);
   }
   static Settings entrySettings() {
