--- a/src/edge/admission.cpp
+++ b/src/edge/admission.cpp
@@ -8,48 +8,50 @@
 
 namespace {
 
-/// Prompts count a quarter of their bytes as tokens.
+/// Used to estimate a prompt's number of tokens.
 constexpr std::uint64_t PromptBytesPerToken = 4;
 
 } // namespace
 
-absl::StatusOr<TicketId> Admission::enter(const CallerRequest &Request,
-                                          const Plan &Way,
-                                          std::shared_ptr<Gate> &Door) {
-  Door = this->gateFor(Request, Way);
-  return Door->enter(offerFor(Request, Way));
+absl::StatusOr<TicketId>
+Admission::enter(const CallerRequest &Request, const RoutePlan &Plan,
+                 std::shared_ptr<AdmissionGate> &SlotGate) {
+  SlotGate = this->gateFor(Request, Plan);
+  return SlotGate->enter(offerFor(Request, Plan));
 }
 
-/// This daemon's share of what the serving targets can take.
-void Admission::setLimits(const CallerRequest &Request, const Plan &Way,
-                          Gate &Door) const {
+/// Sets the gate's limits to this daemon's share of the serving targets'
+/// capacity, split evenly among the data centre's controllers.
+void Admission::setLimits(const CallerRequest &Request, const RoutePlan &Plan,
+                          AdmissionGate &SlotGate) const {
   if (Request.Target.Kind != ObjectKind::Deployment) {
-    Door.setLimits(this->Tables.Config.MaxStreams, 0);
+    SlotGate.setLimits(this->Tables.Config.MaxStreams, 0);
     return;
   }
   std::size_t Serving = 0;
-  for (const RouteTarget &Row : Way.View->Targets)
-    Serving += this->Places.serves(Row) ? 1 : 0;
+  for (const RouteTarget &Target : Plan.View->Targets)
+    Serving += this->PlacementRules.serves(Target) ? 1 : 0;
   std::size_t Daemons = std::max<std::size_t>(
       this->Tables.controllers(SystemClock{}.now()).size(), 1);
-  std::size_t Slots = Serving * Way.View->SlotsPerReplica;
-  Door.setLimits(std::max<std::size_t>((Slots + Daemons - 1) / Daemons, 1),
-                 Serving * Way.View->KvTokensPerReplica / Daemons);
+  std::size_t Slots = Serving * Plan.View->SlotsPerReplica;
+  SlotGate.setLimits(std::max<std::size_t>((Slots + Daemons - 1) / Daemons, 1),
+                     Serving * Plan.View->KvTokensPerReplica / Daemons);
 }
 
-std::shared_ptr<Gate> Admission::gateFor(const CallerRequest &Request,
-                                         const Plan &Way) {
-  std::shared_ptr<Gate> Found = this->Rows.find(Request.Target);
-  if (Found->slotsAreDue(SystemClock{}.now()))
-    this->setLimits(Request, Way, *Found);
-  return Found;
+std::shared_ptr<AdmissionGate> Admission::gateFor(const CallerRequest &Request,
+                                                  const RoutePlan &Plan) {
+  std::shared_ptr<AdmissionGate> SlotGate = this->Gates.find(Request.Target);
+  if (SlotGate->limitsUpdateDue(SystemClock{}.now()))
+    this->setLimits(Request, Plan, *SlotGate);
+  return SlotGate;
 }
 
-FairOffer Admission::offerFor(const CallerRequest &Request, const Plan &Way) {
+FairOffer Admission::offerFor(const CallerRequest &Request,
+                              const RoutePlan &Plan) {
   std::uint64_t Cost = 1;
   if (Request.Target.Kind == ObjectKind::Deployment)
     Cost = Request.MaxTokens + Request.Prompt.size() / PromptBytesPerToken;
-  return {Request.Workspace, Way.Weight,
+  return {Request.Workspace, Plan.Weight,
           Tokens(std::max<std::uint64_t>(Cost, 1)), Request.Deadline,
           Request.Priority};
 }
--- a/src/edge/admission.h
+++ b/src/edge/admission.h
@@ -9,27 +9,30 @@
 
 namespace waycove {
 
-/// Lets requests in, by workspace and in fair shares: this daemon's part of
-/// the slots that the serving targets have.
+/// Limits concurrent requests to this daemon's share of the serving targets'
+/// slots, with fair queueing by workspace.
 class Admission {
 public:
-  Admission(Board &Tables, const Placement &Places)
-      : Tables(Tables), Places(Places), Rows(Tables.Config) {}
+  Admission(Board &Tables, const Placement &PlacementRules)
+      : Tables(Tables), PlacementRules(PlacementRules), Gates(Tables.Config) {}
 
-  /// Waits for a slot; \p Door is the gate to give it back to. Errors: those
-  /// of Gate::enter.
-  absl::StatusOr<TicketId> enter(const CallerRequest &Request, const Plan &Way,
-                                 std::shared_ptr<Gate> &Door);
+  /// Waits for a slot. \p SlotGate is set to the gate that must release it.
+  /// Errors: as for AdmissionGate::enter.
+  absl::StatusOr<TicketId> enter(const CallerRequest &Request,
+                                 const RoutePlan &Plan,
+                                 std::shared_ptr<AdmissionGate> &SlotGate);
 
 private:
-  void setLimits(const CallerRequest &Request, const Plan &Way,
-                 Gate &Door) const;
-  std::shared_ptr<Gate> gateFor(const CallerRequest &Request, const Plan &Way);
-  static FairOffer offerFor(const CallerRequest &Request, const Plan &Way);
+  void setLimits(const CallerRequest &Request, const RoutePlan &Plan,
+                 AdmissionGate &SlotGate) const;
+  std::shared_ptr<AdmissionGate> gateFor(const CallerRequest &Request,
+                                         const RoutePlan &Plan);
+  static FairOffer offerFor(const CallerRequest &Request,
+                            const RoutePlan &Plan);
 
   Board &Tables;
-  const Placement &Places;
-  Gates Rows;
+  const Placement &PlacementRules;
+  AdmissionGates Gates;
 };
 
 } // namespace waycove
--- a/src/edge/attempts.cpp
+++ b/src/edge/attempts.cpp
@@ -6,27 +6,30 @@
 
 namespace waycove {
 
-const RouteTarget *Attempts::choose(const Plan &Way,
+const RouteTarget *Attempts::choose(const RoutePlan &Plan,
                                     const CallerRequest &Request,
-                                    const Course &Run, std::uint64_t Affinity) {
-  TimePoint Began = SystemClock{}.now();
-  RouteQuery Query{Way.Wanted, Affinity,
-                   mixHash(hashText(Request.Id.Text), Run.Attempts), Run.Avoid,
-                   Began};
-  const RouteTarget *Found = this->Tables.Load.read([&](const LoadTable &Load) {
-    return pickTarget(*Way.View, Load, Query, [&](const RouteTarget &Row) {
-      return this->Places.serves(Row);
-    });
-  });
-  if (Found)
-    this->Tables.Load.write([&](LoadTable &Load) { Load.onStart(Found->Key); });
-  this->Tables.Counters.observe(Timer::Route, SystemClock{}.now() - Began);
-  return Found;
+                                    const AttemptHistory &History,
+                                    std::uint64_t Affinity) {
+  TimePoint Start = SystemClock{}.now();
+  RouteQuery Query{Plan.Wanted, Affinity,
+                   mixHash(hashText(Request.Id.Text), History.Attempts),
+                   History.Avoid, Start};
+  const RouteTarget *Selected =
+      this->Tables.Load.read([&](const LoadTable &Load) {
+        return pickTarget(*Plan.View, Load, Query,
+                          [&](const RouteTarget &Target) {
+                            return this->PlacementRules.serves(Target);
+                          });
+      });
+  if (Selected)
+    this->Tables.Load.write(
+        [&](LoadTable &Load) { Load.onStart(Selected->Key); });
+  this->Tables.Counters.observe(Timer::Route, SystemClock{}.now() - Start);
+  return Selected;
 }
 
-/// Notes how an attempt ended, and ejects a target that keeps failing.
-void Attempts::noteEnd(const RouteTarget &Target, AttemptEnd End,
-                       std::size_t Known) {
+void Attempts::recordOutcome(const RouteTarget &Target, AttemptEnd End,
+                             std::size_t Known) {
   bool Failed = End == AttemptEnd::NotSent || End == AttemptEnd::Broken ||
                 End == AttemptEnd::Stalled;
   bool Ejected = this->Tables.Load.write([&](LoadTable &Load) {
@@ -38,42 +41,45 @@
     this->Tables.Log.emit(EventCode::TargetEjected, Target.Head.Text);
 }
 
-/// A target that says that it leaves is believed, here and by all peers.
 void Attempts::recordLeaving(const RouteTarget &Target) {
   WallMs Now = SystemClock{}.wall();
-  bool News = this->Tables.Vms.write([&](VmTable &Vms) {
+  bool Changed = this->Tables.Vms.write([&](VmTable &Vms) {
     return !Vms.isLeaving(Target.Head, Now) &&
            Vms.recordLeaving(Target.Head, Board::leavingUntil(Now),
                              this->Tables.nextLocalMark());
   });
-  if (!News)
+  if (!Changed)
     return;
-  this->Tables.Log.emit(EventCode::VmLeaving, Target.Head.Text, "its own word");
+  this->Tables.Log.emit(EventCode::VmLeaving, Target.Head.Text,
+                        "reported by the target");
   this->Tables.GossipRequested.set();
 }
 
-RetryDecision Attempts::decide(const CallerRequest &Request, Course &Run,
-                               AttemptEnd End) {
-  AttemptFacts Facts{End, Request.Repeatable, Run.Attempts,
-                     SystemClock{}.now() >= Request.Deadline, Run.MayHaveRun};
+RetryDecision Attempts::decide(const CallerRequest &Request,
+                               AttemptHistory &History, AttemptEnd End) {
+  AttemptFacts Facts{End, Request.Repeatable, History.Attempts,
+                     SystemClock{}.now() >= Request.Deadline,
+                     History.MayHaveRun};
   std::lock_guard Lock(this->BudgetMutex);
-  RetryDecision Next = decideRetry(Facts, this->Budget);
-  Run.MayHaveRun |= End != AttemptEnd::NotSent && End != AttemptEnd::Refused;
-  return Next;
+  RetryDecision Decision = decideRetry(Facts, this->Budget);
+  History.MayHaveRun |=
+      End != AttemptEnd::NotSent && End != AttemptEnd::Refused;
+  return Decision;
 }
 
-void Attempts::noteFirst() {
+void Attempts::recordFirstAttempt() {
   std::lock_guard Lock(this->BudgetMutex);
   this->Budget.onFirstAttempt(SystemClock{}.now());
 }
 
-void Attempts::noteAgain(const CallerRequest &Request,
-                         const RouteTarget &Target, bool Resumed, Course &Run) {
-  Run.Avoid.push_back(Target.Head);
+void Attempts::recordRetry(const CallerRequest &Request,
+                           const RouteTarget &Target, bool Resumed,
+                           AttemptHistory &History) {
+  History.Avoid.push_back(Target.Head);
   this->Tables.Counters.add(Resumed ? Counter::Resumes : Counter::Retries);
   this->Tables.Log.emit(
       Resumed ? EventCode::RequestResumed : EventCode::RequestRetried,
-      Request.Id.Text, "after " + Target.Head.Text + ": " + Run.Reason);
+      Request.Id.Text, "after " + Target.Head.Text + ": " + History.Reason);
 }
 
 } // namespace waycove
--- a/src/edge/attempts.h
+++ b/src/edge/attempts.h
@@ -9,40 +9,45 @@
 
 namespace waycove {
 
-/// One request's attempts at targets.
-struct Course {
+/// The attempts made so far for one request.
+struct AttemptHistory {
   std::vector<VmId> Avoid;
   unsigned Attempts = 0;
   bool MayHaveRun = false;
   std::string Reason;
 };
 
-/// Picks targets for attempts, remembers how attempts end, and says whether a
-/// request is tried again. One for all requests of a daemon, so that retries
-/// keep within one budget. Thread-safe.
+/// Selects targets for attempts, records their outcomes and decides on retries.
+/// Shared by all requests of a daemon, which share one retry budget.
+/// Thread-safe.
 class Attempts {
 public:
-  Attempts(Board &Tables, const Placement &Places)
-      : Tables(Tables), Places(Places) {}
-
-  void noteFirst();
-  /// A target for the next attempt, or null. Counts the request as in flight
-  /// there until noteEnd.
-  const RouteTarget *choose(const Plan &Way, const CallerRequest &Request,
-                            const Course &Run, std::uint64_t Affinity);
-  /// Notes how an attempt ended, and ejects a target that keeps failing.
-  void noteEnd(const RouteTarget &Target, AttemptEnd End, std::size_t Known);
-  /// A target that says that it leaves is believed, here and by all peers.
+  Attempts(Board &Tables, const Placement &PlacementRules)
+      : Tables(Tables), PlacementRules(PlacementRules) {}
+
+  void recordFirstAttempt();
+  /// Selects a target for the next attempt, or returns null. The request counts
+  /// as in flight there until recordOutcome() is called.
+  const RouteTarget *choose(const RoutePlan &Plan, const CallerRequest &Request,
+                            const AttemptHistory &History,
+                            std::uint64_t Affinity);
+  /// Records the outcome of an attempt and ejects a target that keeps failing.
+  /// \p Known is the number of known targets.
+  void recordOutcome(const RouteTarget &Target, AttemptEnd End,
+                     std::size_t Known);
+  /// Marks a target that reported itself as leaving, and has gossip pass that
+  /// on to the peers.
   void recordLeaving(const RouteTarget &Target);
-  RetryDecision decide(const CallerRequest &Request, Course &Run,
+  RetryDecision decide(const CallerRequest &Request, AttemptHistory &History,
                        AttemptEnd End);
-  /// Notes that the request goes on elsewhere.
-  void noteAgain(const CallerRequest &Request, const RouteTarget &Target,
-                 bool Resumed, Course &Run);
+  /// Records that the request is retried or resumed after failing on
+  /// \p Target.
+  void recordRetry(const CallerRequest &Request, const RouteTarget &Target,
+                   bool Resumed, AttemptHistory &History);
 
 private:
   Board &Tables;
-  const Placement &Places;
+  const Placement &PlacementRules;
   std::mutex BudgetMutex;
   RetryBudget Budget;
 };
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -16,154 +16,156 @@
 namespace {
 
 constexpr std::size_t MaxRequestId = 64;
-constexpr std::uint64_t MaxTokensAsked = 1 << 20;
-constexpr std::uint64_t DefaultTokens = 256;
+constexpr std::uint64_t MaxTokensPerRequest = 1 << 20;
+constexpr std::uint64_t DefaultMaxTokens = 256;
 constexpr std::uint64_t MaxDeadlineMs = 3600000;
 constexpr std::uint64_t MaxPriority = 9;
 constexpr std::size_t MaxSession = 128;
-/// What is read of a refused request's body before its connection closes, in
-/// bytes and as the longest wait for more; chosen to hold no thread for long.
-constexpr std::size_t MaxDropped = 1 << 20;
-constexpr Millis DropTime(200);
+/// Bounds on discarding an unread body: total bytes, and the timeout of each
+/// read.
+constexpr std::size_t MaxDiscardedBytes = 1 << 20;
+constexpr Millis DiscardTimeout(200);
 constexpr char ModelPrefix[] = "/v1/models/";
 constexpr char ServicePrefix[] = "/v1/services/";
 constexpr char GenerateSuffix[] = "/generate";
 
-/// Reads a whole number from a header; \p Default where it is absent.
+/// Parses an unsigned integer of at most \p Max from a header; \p Default where
+/// it is absent.
 absl::StatusOr<std::uint64_t>
 numberHeader(const Poco::Net::HTTPServerRequest &Request,
              const std::string &Name, std::uint64_t Default,
-             std::uint64_t Most) {
+             std::uint64_t Max) {
   std::string Text = Request.get(Name, "");
   if (Text.empty())
     return Default;
   bool Digits = Text.size() <= 12 &&
                 Text.find_first_not_of("0123456789") == std::string::npos;
   std::uint64_t Value = Digits ? std::stoull(Text) : 0;
-  if (!Digits || Value > Most)
+  if (!Digits || Value > Max)
     return makeError(ErrorKind::BadRequest,
                      Name + ": expected a whole number of at most " +
-                         std::to_string(Most));
+                         std::to_string(Max));
   return Value;
 }
 
-bool isPlainId(const std::string &Text, std::size_t Most) {
-  return Text.size() <= Most &&
+bool isPlainId(const std::string &Text, std::size_t Max) {
+  return Text.size() <= Max &&
          std::all_of(Text.begin(), Text.end(), [](unsigned char C) {
            return std::isalnum(C) || C == '-' || C == '_' || C == '.';
          });
 }
 
-/// Takes the path apart: which object is meant, and what is left of it.
-absl::Status readTarget(const std::string &Uri, CallerRequest &Into) {
+/// Sets the target, and for services the path, from the request's URI.
+absl::Status readTarget(const std::string &Uri, CallerRequest &Out) {
   std::string Path = Uri.substr(0, Uri.find('?'));
   if (Path.rfind(ModelPrefix, 0) == 0 && Path.ends_with(GenerateSuffix) &&
       Path.size() > sizeof(ModelPrefix) + sizeof(GenerateSuffix) - 2) {
     std::size_t From = sizeof(ModelPrefix) - 1;
     std::string Name =
         Path.substr(From, Path.size() - From - (sizeof(GenerateSuffix) - 1));
-    Into.Target = {ObjectKind::Deployment, Name};
+    Out.Target = {ObjectKind::Deployment, Name};
     return absl::OkStatus();
   }
   if (Path.rfind(ServicePrefix, 0) == 0) {
     std::string Rest = Uri.substr(sizeof(ServicePrefix) - 1);
     std::size_t End = Rest.find_first_of("/?");
-    Into.Target = {ObjectKind::Service, Rest.substr(0, End)};
-    Into.Path = End == std::string::npos ? "/" : Rest.substr(End);
-    if (Into.Path[0] != '/')
-      Into.Path = std::string(1, '/').append(Into.Path);
+    Out.Target = {ObjectKind::Service, Rest.substr(0, End)};
+    Out.Path = End == std::string::npos ? "/" : Rest.substr(End);
+    if (Out.Path[0] != '/')
+      Out.Path = std::string(1, '/').append(Out.Path);
     return absl::OkStatus();
   }
   return makeError(ErrorKind::NotFound, "no such path");
 }
 
-absl::Status readModelBody(CallerRequest &Into) {
-  absl::StatusOr<JsonObject> Body = parseJson(Into.Body);
+absl::Status readModelBody(CallerRequest &Out) {
+  absl::StatusOr<JsonObject> Body = parseJson(Out.Body);
   if (!Body.ok())
     return Body.status();
   if (!(*Body)->get("prompt").isString())
     return makeError(ErrorKind::BadRequest, "prompt: expected a text");
-  Into.Prompt = textAt(*Body, "prompt");
-  Into.MaxTokens = numberAt(*Body, "max_tokens", DefaultTokens);
-  if (Into.MaxTokens == 0 || Into.MaxTokens > MaxTokensAsked)
-    return makeError(ErrorKind::BadRequest, "max_tokens: expected 1 to " +
-                                                std::to_string(MaxTokensAsked));
-  Into.Stream = flagAt(*Body, "stream", false);
+  Out.Prompt = textAt(*Body, "prompt");
+  Out.MaxTokens = numberAt(*Body, "max_tokens", DefaultMaxTokens);
+  if (Out.MaxTokens == 0 || Out.MaxTokens > MaxTokensPerRequest)
+    return makeError(ErrorKind::BadRequest,
+                     "max_tokens: expected 1 to " +
+                         std::to_string(MaxTokensPerRequest));
+  Out.Stream = flagAt(*Body, "stream", false);
   return absl::OkStatus();
 }
 
-/// Whether the request may be sent more than once. The caller's word counts
-/// where it forbids; where it allows what the service's methods do not say,
-/// it counts too, for the caller knows its call.
+/// Sets whether the request may be sent more than once. X-Waycove-Repeatable
+/// overrides the default of the deployment or service.
 absl::Status readRepeatable(const Poco::Net::HTTPServerRequest &Request,
-                            const Board &Tables, CallerRequest &Into) {
-  bool Default = Into.Target.Kind == ObjectKind::Deployment;
+                            const Board &Tables, CallerRequest &Out) {
+  bool Default = Out.Target.Kind == ObjectKind::Deployment;
   if (!Default)
     Default = Tables.State.read([&](const FoldState &State) {
       const auto *Spec =
-          State.spec<Service>(ObjectKind::Service, Into.Target.Name);
+          State.spec<Service>(ObjectKind::Service, Out.Target.Name);
       return Spec && std::find(Spec->RepeatableMethods.begin(),
                                Spec->RepeatableMethods.end(),
-                               Into.Method) != Spec->RepeatableMethods.end();
+                               Out.Method) != Spec->RepeatableMethods.end();
     });
   std::string Text = Request.get("X-Waycove-Repeatable", "");
   if (!Text.empty() && Text != "yes" && Text != "no")
     return makeError(ErrorKind::BadRequest,
                      "X-Waycove-Repeatable: expected yes or no");
-  Into.Repeatable = Text.empty() ? Default : Text == "yes";
-  // A key asks for at-most-once, whatever else is said.
-  if (!Into.Key.empty())
-    Into.Repeatable = false;
+  Out.Repeatable = Text.empty() ? Default : Text == "yes";
+  // A key always means at most once.
+  if (!Out.Key.empty())
+    Out.Repeatable = false;
   return absl::OkStatus();
 }
 
-/// A request with a key may have run elsewhere before.
+/// The NotReady error. A request with a key may have run on another daemon, so
+/// its outcome is unknown.
 absl::Status notReady(const Poco::Net::HTTPServerRequest &Request) {
-  absl::Status Status = makeError(ErrorKind::NotReady,
-                                  "no current configuration yet", ComeBackSoon);
+  absl::Status Status = makeError(
+      ErrorKind::NotReady, "no current configuration yet", DefaultRetryAfter);
   return Request.has("Idempotency-Key") ? markOutcomeUnknown(Status) : Status;
 }
 
 absl::Status readHeaders(const Poco::Net::HTTPServerRequest &Request,
-                         const Board &Tables, CallerRequest &Into) {
-  Into.Id = RequestId(Request.get("X-Request-Id", ""));
-  if (!isPlainId(Into.Id.Text, MaxRequestId))
+                         const Board &Tables, CallerRequest &Out) {
+  Out.Id = RequestId(Request.get("X-Request-Id", ""));
+  if (!isPlainId(Out.Id.Text, MaxRequestId))
     return makeError(ErrorKind::BadRequest,
                      "X-Request-Id: expected at most 64 letters, digits, "
                      "'-', '_' and '.'");
-  // Callers may choose the same id; what goes to targets is always unique.
-  if (!Into.Id.empty())
-    Into.Id.Text.push_back('~');
-  Into.Id.Text.append(randomId());
-  Into.LabelsText = Request.get("X-Waycove-Labels", "");
-  absl::StatusOr<Selector> Wanted = parseSelector(Into.LabelsText);
+  // Make the id unique, as several callers may use the same one.
+  if (!Out.Id.empty())
+    Out.Id.Text.push_back('~');
+  Out.Id.Text.append(randomId());
+  Out.LabelsText = Request.get("X-Waycove-Labels", "");
+  absl::StatusOr<Selector> Wanted = parseSelector(Out.LabelsText);
   if (!Wanted.ok())
     return Wanted.status();
-  Into.Wanted = *Wanted;
-  Into.Key = IdempotencyKey(Request.get("Idempotency-Key", ""));
-  Into.Session = Request.get("X-Waycove-Session", "");
-  if (Into.Session.size() > MaxSession)
+  Out.Wanted = *Wanted;
+  Out.Key = IdempotencyKey(Request.get("Idempotency-Key", ""));
+  Out.Session = Request.get("X-Waycove-Session", "");
+  if (Out.Session.size() > MaxSession)
     return makeError(ErrorKind::BadRequest, "X-Waycove-Session: too long");
   absl::StatusOr<std::uint64_t> Priority =
       numberHeader(Request, "X-Waycove-Priority", 0, MaxPriority);
   if (!Priority.ok())
     return Priority.status();
-  Into.Priority = static_cast<unsigned>(*Priority);
+  Out.Priority = static_cast<unsigned>(*Priority);
   absl::StatusOr<std::uint64_t> Deadline = numberHeader(
       Request, "X-Waycove-Deadline-Ms",
       static_cast<std::uint64_t>(Tables.Config.DefaultDeadline.count()),
       MaxDeadlineMs);
   if (!Deadline.ok())
     return Deadline.status();
-  Into.Deadline =
+  Out.Deadline =
       SystemClock{}.now() + Millis(static_cast<std::int64_t>(*Deadline));
-  return readRepeatable(Request, Tables, Into);
+  return readRepeatable(Request, Tables, Out);
 }
 
 } // namespace
 
 bool HttpSink::head(int Status, const std::string &Type, Millis Retry,
-                    AnswerLength Length) {
+                    ResponseLength Length) {
   try {
     this->Response.setStatusAndReason(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Status));
@@ -176,7 +178,7 @@
     if (Length && !Bodyless)
       this->Response.setContentLength64(static_cast<std::int64_t>(*Length));
     this->Response.setChunkedTransferEncoding(!Length && !Bodyless);
-    // Bytes that nobody read must not be taken for the next request.
+    // An unread body would be parsed as the next request.
     if (!Length || !isBodyRead(this->Request))
       this->Response.setKeepAlive(false);
     this->Out = &this->Response.send();
@@ -205,9 +207,8 @@
   if (!Chunks)
     return true;
   try {
-    // The last chunk goes out here and not when the library lets the stream
-    // go, so that an answer counts as given only once it is on its way whole.
-    // The library would write it a second time: no more can be sent.
+    // Send the last chunk here rather than when Poco destroys the stream, so
+    // that a failure is reported. Poco would send it again: shut down sending.
     Chunks->rdbuf()->close();
     this->socket().shutdownSend();
     return Chunks->good();
@@ -224,41 +225,43 @@
 void HttpSink::cut() {
   this->Response.setKeepAlive(false);
   try {
-    // Without the socket, the last chunk cannot go out.
+    // Prevents Poco from sending the last chunk.
     this->socket().shutdown();
   } catch (const std::exception &) {
-    // Broken already: the caller sees that as well.
+    // Already disconnected, which the caller detects too.
   }
 }
 
-void HttpSink::note(Ran Outcome) {
+void HttpSink::setRan(Ran Outcome) {
   this->Response.set("X-Waycove-Ran", std::string(ranText(Outcome)));
 }
 
-bool hasTwoFramings(const Poco::Net::HTTPServerRequest &Request) {
+bool hasConflictingFraming(const Poco::Net::HTTPServerRequest &Request) {
   return Request.hasContentLength() &&
          Request.has(Poco::Net::HTTPMessage::TRANSFER_ENCODING);
 }
 
 bool isBodyRead(Poco::Net::HTTPServerRequest &Request) {
-  bool Any = Request.getChunkedTransferEncoding() ||
-             (Request.hasContentLength() && Request.getContentLength64() > 0);
-  return !Any || (!hasTwoFramings(Request) && Request.stream().eof());
+  bool HasBody =
+      Request.getChunkedTransferEncoding() ||
+      (Request.hasContentLength() && Request.getContentLength64() > 0);
+  return !HasBody ||
+         (!hasConflictingFraming(Request) && Request.stream().eof());
 }
 
-void dropBody(Poco::Net::HTTPServerRequest &Request) {
+void discardBody(Poco::Net::HTTPServerRequest &Request) {
   try {
     dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request)
         .socket()
-        .setReceiveTimeout(timespanOf(DropTime));
+        .setReceiveTimeout(timespanOf(DiscardTimeout));
     std::array<char, 8192> Part{};
     std::istream &In = Request.stream();
-    for (std::size_t Dropped = 0; In.good() && Dropped < MaxDropped;) {
+    for (std::size_t Dropped = 0; In.good() && Dropped < MaxDiscardedBytes;) {
       In.read(Part.data(), Part.size());
       Dropped += static_cast<std::size_t>(In.gcount());
     }
   } catch (const Poco::Exception &) {
-    // The caller is slow or gone; the connection ends either way.
+    // Timeout or disconnect; the connection is closed anyway.
   }
 }
 
@@ -284,18 +287,18 @@
   return Body;
 }
 
-std::string bearerOf(const Poco::Net::HTTPServerRequest &Request) {
+std::string bearerToken(const Poco::Net::HTTPServerRequest &Request) {
   constexpr char Scheme[] = "Bearer ";
   std::string Text = Request.get("Authorization", "");
   return Text.rfind(Scheme, 0) == 0 ? Text.substr(sizeof(Scheme) - 1) : "";
 }
 
-absl::StatusOr<CallerRequest> readCaller(Poco::Net::HTTPServerRequest &Request,
-                                         const Board &Tables) {
+absl::StatusOr<CallerRequest>
+readCallerRequest(Poco::Net::HTTPServerRequest &Request, const Board &Tables) {
   CallerRequest Result;
   Result.Method = Request.getMethod();
-  // 1. Who asks? Nothing else is said to strangers.
-  std::string Digest = digestKey(bearerOf(Request));
+  // 1. Authenticate.
+  std::string Digest = digestKey(bearerToken(Request));
   ObjectRef Owner = Tables.State.read(
       [&](const FoldState &State) { return State.workspaceByDigest(Digest); });
   if (!Owner && !Tables.Ready)
@@ -303,13 +306,13 @@
   if (!Owner)
     return makeError(ErrorKind::Unauthenticated, "no workspace has this key");
   Result.Workspace = WorkspaceId(Owner->Key.Name);
-  // 2. What is asked?
+  // 2. Parse the URI and headers.
   if (absl::Status Found = readTarget(Request.getURI(), Result); !Found.ok())
     return Found;
   if (absl::Status Headers = readHeaders(Request, Tables, Result);
       !Headers.ok())
     return Headers;
-  // 3. The body.
+  // 3. Read and parse the body.
   absl::StatusOr<std::string> Body =
       readBody(Request, Tables.Config.MaxBodyBytes);
   if (!Body.ok())
--- a/src/edge/callers.h
+++ b/src/edge/callers.h
@@ -14,20 +14,20 @@
 
 namespace waycove {
 
-/// Writes an answer to a caller's HTTP connection. Answers of known length say
-/// it. Streams are chunked and end their connection; one that is not whole
-/// lacks its last chunk, so any client sees the cut.
+/// Writes a response to a caller's HTTP connection. Responses of known length
+/// have a Content-Length. Streams are chunked and close their connection; an
+/// incomplete one lacks its last chunk, so that clients detect the cut.
 class HttpSink {
 public:
   HttpSink(Poco::Net::HTTPServerRequest &Request,
            Poco::Net::HTTPServerResponse &Response)
       : Request(Request), Response(Response) {}
   bool head(int Status, const std::string &Type, Millis Retry,
-            AnswerLength Length);
+            ResponseLength Length);
   bool data(std::string_view Bytes);
   bool end();
   void cut();
-  void note(Ran Outcome);
+  void setRan(Ran Outcome);
 
 private:
   Poco::Net::StreamSocket &socket();
@@ -37,26 +37,28 @@
   std::ostream *Out = nullptr;
 };
 
-static_assert(AnswerSink<HttpSink>);
+static_assert(ResponseSink<HttpSink>);
 
-/// Whether the head names its body's end in two ways. Readers differ in which
-/// they believe, so such a request may hide a second one.
-bool hasTwoFramings(const Poco::Net::HTTPServerRequest &Request);
-/// Whether all of the body has been read; true where there is none.
+/// Whether the request has both Content-Length and Transfer-Encoding, which
+/// allows request smuggling.
+bool hasConflictingFraming(const Poco::Net::HTTPServerRequest &Request);
+/// Whether the whole body has been read; true where there is none.
 bool isBodyRead(Poco::Net::HTTPServerRequest &Request);
-/// Reads and drops what is left of the body, up to bounds on bytes and time,
-/// so that closing does not reset an answer that the caller has yet to read.
-void dropBody(Poco::Net::HTTPServerRequest &Request);
+/// Reads and discards the rest of the body, bounded in bytes and time, so that
+/// closing the connection does not reset it before the caller has read the
+/// response.
+void discardBody(Poco::Net::HTTPServerRequest &Request);
 
-/// Reads what a caller sent into a request, checking form and bounds. Errors:
-/// from the closed list, BadRequest for most.
-absl::StatusOr<CallerRequest> readCaller(Poco::Net::HTTPServerRequest &Request,
-                                         const Board &Tables);
+/// Parses and validates a caller's request. Errors: Unauthenticated, NotReady,
+/// NotFound, TooLarge, BadRequest.
+absl::StatusOr<CallerRequest>
+readCallerRequest(Poco::Net::HTTPServerRequest &Request, const Board &Tables);
 
-/// The body of \p Request, of at most \p MaxBytes.
+/// The body of \p Request. Errors: TooLarge above \p MaxBytes; BadRequest where
+/// it is incomplete.
 absl::StatusOr<std::string> readBody(Poco::Net::HTTPServerRequest &Request,
                                      std::size_t MaxBytes);
 /// The token of "Authorization: Bearer TOKEN"; empty where there is none.
-std::string bearerOf(const Poco::Net::HTTPServerRequest &Request);
+std::string bearerToken(const Poco::Net::HTTPServerRequest &Request);
 
 } // namespace waycove
--- a/src/edge/daemon.cpp
+++ b/src/edge/daemon.cpp
@@ -21,18 +21,18 @@
 
 namespace {
 
-constexpr Millis RoundEvery(100);
-constexpr Millis ViewsEvery(20);
-constexpr Millis VmListEvery(500);
-constexpr Millis PruneEvery(1000);
-constexpr Millis StopLinger(3000);
+constexpr Millis GroupStepInterval(100);
+constexpr Millis ViewRefreshInterval(20);
+constexpr Millis VmListPollInterval(500);
+constexpr Millis PruneInterval(1000);
+constexpr Millis MaxHandoverWait(3000);
 constexpr int RequestStackBytes = 256 << 10;
 constexpr int ListenBacklog = 1024;
 
 using Binder = ClaimBinder<HttpLog>;
-using Caller = Server<HttpEngine, HttpPlain, Binder>;
+using RequestServer = Server<HttpEngine, HttpPlainService, Binder>;
 
-/// Runs \p Step over and over, pausing for as long as it says.
+/// Runs \p Step repeatedly, with the pause that it returns in between.
 std::jthread loop(std::function<Millis()> Step) {
   return std::jthread([Step = std::move(Step)](const std::stop_token &Stop) {
     while (!Stop.stop_requested()) {
@@ -46,36 +46,37 @@
 } // namespace
 
 struct Daemon::Parts {
-  explicit Parts(const Settings &Given)
-      : Tables(Given, IncarnationId(randomId())), Fold(Tables),
+  explicit Parts(const Settings &Config)
+      : Tables(Config, IncarnationId(randomId())), Fold(Tables),
         Log(Tables.Config, Tables.Counters),
         List(Tables.Config, Tables.Counters), Submit(Tables, Fold, Log),
         Keys(Tables, Submit), Models(Tables.Config),
         Control(Tables.Config, Tables.Counters),
-        Services(Tables.Config, Tables.Counters), Others(Tables),
-        Serve(Tables, Models, Services, Keys, Others), Admin(Tables, Submit),
-        Follow(Tables, Fold, Log), Watch(Tables, List), Views(Tables),
+        Services(Tables.Config, Tables.Counters), PeerForwarder(Tables),
+        Serve(Tables, Models, Services, Keys, PeerForwarder),
+        Admin(Tables, Submit), LogReader(Tables, Fold, Log),
+        VmListReader(Tables, List), Views(Tables),
         Groups(Tables, Submit, Control),
         Peers(Tables, Fold,
-              [this](FrameSocket &Frames, const wire::ForwardT &Asked) {
-                this->serveForward(Frames, Asked);
+              [this](FrameSocket &Frames, const wire::ForwardT &Forward) {
+                this->serveForward(Frames, Forward);
               }) {}
 
-  void serveForward(FrameSocket &Frames, const wire::ForwardT &Asked) {
-    PeerSink Into(Frames, this->Tables.Clock);
+  void serveForward(FrameSocket &Frames, const wire::ForwardT &Forward) {
+    PeerSink Sink(Frames, this->Tables.Clock);
     absl::StatusOr<CallerRequest> Request =
-        fromForward(Asked, SystemClock{}.now());
+        fromForward(Forward, SystemClock{}.now());
     if (Request.ok())
-      this->Serve.serve(*Request, Into);
+      this->Serve.serve(*Request, Sink);
     else
-      sendError(Into, Request.status());
+      sendError(Sink, Request.status());
   }
 
   void pruneOnce() {
     WallMs Fold = this->Tables.State.read(
         [](const FoldState &State) { return State.clock(); });
     WallMs Now = std::min(Fold, SystemClock{}.wall());
-    this->Tables.Idempotency.write([&](OnceTable &Rows) { Rows.prune(Now); });
+    this->Tables.Idempotency.write([&](OnceTable &Table) { Table.prune(Now); });
   }
 
   Board Tables;
@@ -86,12 +87,12 @@
   Binder Keys;
   HttpEngine Models;
   HttpEngineControl Control;
-  HttpPlain Services;
-  Forwarder Others;
-  Caller Serve;
+  HttpPlainService Services;
+  Forwarder PeerForwarder;
+  RequestServer Serve;
   Operators<HttpLog> Admin;
-  LogFollower<HttpLog> Follow;
-  VmListFollower<HttpVmList> Watch;
+  LogFollower<HttpLog> LogReader;
+  VmListFollower<HttpVmList> VmListReader;
   ViewBuilder Views;
   GroupController<HttpEngineControl, HttpLog> Groups;
   PeerExchange Peers;
@@ -103,85 +104,86 @@
 
 namespace {
 
-/// Answers one HTTP request, whichever it is.
+/// Routes HTTP requests to the endpoints of the daemon.
 template <typename Parts> class Handler : public Poco::Net::HTTPRequestHandler {
 public:
   explicit Handler(Parts &Owner) : Owner(Owner) {}
 
   void handleRequest(Poco::Net::HTTPServerRequest &Request,
                      Poco::Net::HTTPServerResponse &Response) override {
-    HttpSink Into(Request, Response);
-    if (hasTwoFramings(Request))
-      sendError(Into, makeError(ErrorKind::BadRequest,
+    HttpSink Sink(Request, Response);
+    if (hasConflictingFraming(Request))
+      sendError(Sink, makeError(ErrorKind::BadRequest,
                                 "both Content-Length and Transfer-Encoding"));
     else
-      this->answer(Request, Into);
+      this->route(Request, Sink);
     if (!isBodyRead(Request))
-      dropBody(Request);
+      discardBody(Request);
   }
 
 private:
-  void answer(Poco::Net::HTTPServerRequest &Request, HttpSink &Into) {
+  void route(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
     const std::string &Uri = Request.getURI();
     if (Uri == "/healthz")
-      sendWhole(Into, 200, "text/plain", "ok\n");
+      sendWhole(Sink, 200, "text/plain", "ok\n");
     else if (Uri == "/readyz")
-      this->ready(Into);
+      this->ready(Sink);
     else if (Uri == "/metrics")
-      sendWhole(Into, 200, "text/plain; version=0.0.4",
+      sendWhole(Sink, 200, "text/plain; version=0.0.4",
                 this->Owner.Tables.Counters.text());
     else if (Uri.rfind("/operator/v1/", 0) == 0)
-      this->Owner.Admin.handle(Request, Into);
+      this->Owner.Admin.handle(Request, Sink);
     else if (Uri == "/v1/tickets")
-      this->ticket(Request, Into);
+      this->ticket(Request, Sink);
     else
-      this->serve(Request, Into);
+      this->serve(Request, Sink);
   }
 
-  void ready(HttpSink &Into) {
+  void ready(HttpSink &Sink) {
     if (this->Owner.Tables.Stopping)
-      sendError(Into, makeError(ErrorKind::Stopping, "stopping"));
+      sendError(Sink, makeError(ErrorKind::Stopping, "stopping"));
     else if (!this->Owner.Tables.Ready ||
              (this->Owner.Tables.LogUp && !this->Owner.Tables.VmsKnown))
-      sendError(Into, makeError(ErrorKind::NotReady, "not ready"));
+      sendError(Sink, makeError(ErrorKind::NotReady, "not ready"));
     else
-      sendWhole(Into, 200, "text/plain", "ready\n");
+      sendWhole(Sink, 200, "text/plain", "ready\n");
   }
 
-  void ticket(Poco::Net::HTTPServerRequest &Request, HttpSink &Into) {
+  void ticket(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
     bool Known = this->Owner.Tables.State.read([&](const FoldState &State) {
-      return State.workspaceByDigest(digestKey(bearerOf(Request))) != nullptr;
+      return State.workspaceByDigest(digestKey(bearerToken(Request))) !=
+             nullptr;
     });
     if (!Known) {
-      sendError(Into, makeError(ErrorKind::Unauthenticated,
+      sendError(Sink, makeError(ErrorKind::Unauthenticated,
                                 "no workspace has this key"));
       return;
     }
     if (this->Owner.Tables.Stopping) {
-      sendError(Into, makeError(ErrorKind::Stopping, "stopping"));
+      sendError(Sink, makeError(ErrorKind::Stopping, "stopping"));
       return;
     }
     Poco::JSON::Object Body;
     Body.set("ticket", this->Owner.Serve.mintTicket().Text);
-    sendWhole(Into, 200, "application/json", dumpJson(Body));
+    sendWhole(Sink, 200, "application/json", dumpJson(Body));
   }
 
-  void serve(Poco::Net::HTTPServerRequest &Request, HttpSink &Into) {
-    absl::StatusOr<CallerRequest> Asked =
-        readCaller(Request, this->Owner.Tables);
-    if (Asked.ok())
-      this->Owner.Serve.serve(*Asked, Into);
+  void serve(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
+    absl::StatusOr<CallerRequest> Forward =
+        readCallerRequest(Request, this->Owner.Tables);
+    if (Forward.ok())
+      this->Owner.Serve.serve(*Forward, Sink);
     else
-      sendError(Into, Asked.status());
+      sendError(Sink, Forward.status());
   }
 
   Parts &Owner;
 };
 
 template <typename Parts>
-class Handlers : public Poco::Net::HTTPRequestHandlerFactory {
+class HandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
 public:
-  explicit Handlers(Parts &Owner) : Owner(Owner) {}
+  explicit HandlerFactory(Parts &Owner) : Owner(Owner) {}
   Poco::Net::HTTPRequestHandler *
   createRequestHandler(const Poco::Net::HTTPServerRequest &) override {
     return new Handler<Parts>(this->Owner);
@@ -194,43 +196,43 @@
 } // namespace
 
 Daemon::Daemon(const Settings &Config)
-    : Inside(std::make_unique<Parts>(Config)) {}
+    : Impl(std::make_unique<Parts>(Config)) {}
 
 Daemon::~Daemon() {
-  if (this->Inside->Http)
-    this->Inside->Http->stopAll(true);
-  for (std::jthread &Row : this->Inside->Loops)
-    Row.request_stop();
-  this->Inside->Tables.GossipRequested.set();
-  this->Inside->Loops.clear();
-  this->Inside->Tables.Log.emit(
-      EventCode::DaemonStopped, this->Inside->Tables.Self.Node.Text,
+  if (this->Impl->Http)
+    this->Impl->Http->stopAll(true);
+  for (std::jthread &Loop : this->Impl->Loops)
+    Loop.request_stop();
+  this->Impl->Tables.GossipRequested.set();
+  this->Impl->Loops.clear();
+  this->Impl->Tables.Log.emit(
+      EventCode::DaemonStopped, this->Impl->Tables.Self.Node.Text,
       std::to_string(this->inFlight()) + " requests cut");
 }
 
 void Daemon::start() {
-  Parts &In = *this->Inside;
+  Parts &In = *this->Impl;
   const Settings &Config = In.Tables.Config;
   In.Peers.start();
-  In.Loops.push_back(loop([&In] { return In.Follow.step(); }));
+  In.Loops.push_back(loop([&In] { return In.LogReader.step(); }));
   In.Loops.push_back(loop([&In] {
-    In.Watch.step();
-    return VmListEvery;
+    In.VmListReader.step();
+    return VmListPollInterval;
   }));
   In.Loops.push_back(loop([&In] {
     In.Views.refresh();
-    return ViewsEvery;
+    return ViewRefreshInterval;
   }));
   In.Loops.push_back(loop([&In] {
     In.Groups.step(SystemClock{}.now());
-    return RoundEvery;
+    return GroupStepInterval;
   }));
   In.Loops.push_back(loop([&In] {
     In.pruneOnce();
-    return PruneEvery;
+    return PruneInterval;
   }));
   In.Loops.push_back(loop([&In, Last = TimePoint()]() mutable {
-    // Urgent news goes out between heartbeats, a little gathered.
+    // Requested gossip is flushed between heartbeats.
     bool Urgent = In.Tables.GossipRequested.tryWait(20);
     TimePoint Now = SystemClock{}.now();
     if (Now - Last >= In.Tables.Config.HeartbeatInterval) {
@@ -255,7 +257,7 @@
               true, false);
   Socket.listen(ListenBacklog);
   In.Http = std::make_unique<Poco::Net::HTTPServer>(
-      new Handlers<Parts>(In), *In.HttpThreads, Socket, Params);
+      new HandlerFactory<Parts>(In), *In.HttpThreads, Socket, Params);
   In.Http->start();
   In.Tables.Log.emit(EventCode::DaemonStarted, Config.Node.Text,
                      "callers at " + Config.Http.text() + ", peers at " +
@@ -263,23 +265,23 @@
 }
 
 void Daemon::beginStop() {
-  this->Inside->StopBegan = SystemClock{}.now();
-  this->Inside->Tables.Stopping = true;
-  this->Inside->Tables.GossipRequested.set();
-  this->Inside->Tables.Log.emit(
-      EventCode::DaemonStopping, this->Inside->Tables.Self.Node.Text,
+  this->Impl->StopBegan = SystemClock{}.now();
+  this->Impl->Tables.Stopping = true;
+  this->Impl->Tables.GossipRequested.set();
+  this->Impl->Tables.Log.emit(
+      EventCode::DaemonStopping, this->Impl->Tables.Self.Node.Text,
       std::to_string(this->inFlight()) + " requests in flight");
 }
 
 bool Daemon::isDrained() const {
-  const Board &Tables = this->Inside->Tables;
+  const Board &Tables = this->Impl->Tables;
   if (this->inFlight() > 0)
     return false;
   TimePoint Now = SystemClock{}.now();
-  // Requests on their way here while others had not yet heard of the stop.
-  if (Now - this->Inside->StopBegan < 2 * Tables.Config.HeartbeatInterval)
+  // Peers may still forward requests until a heartbeat reports the stop.
+  if (Now - this->Impl->StopBegan < 2 * Tables.Config.HeartbeatInterval)
     return false;
-  if (Now - this->Inside->StopBegan > StopLinger ||
+  if (Now - this->Impl->StopBegan > MaxHandoverWait ||
       Tables.controllers(Now).empty())
     return true;
   return Tables.Health.read([&](const HealthTable &Rows) {
@@ -290,7 +292,7 @@
 }
 
 std::uint32_t Daemon::inFlight() const {
-  return this->Inside->Tables.InFlight.load();
+  return this->Impl->Tables.InFlight.load();
 }
 
 } // namespace waycove
--- a/src/edge/daemon.h
+++ b/src/edge/daemon.h
@@ -10,7 +10,7 @@
 
 namespace waycove {
 
-/// A whole daemon: the blackboard, its controllers, and the edge.
+/// The daemon: the blackboard, its controllers, and the edge.
 class Daemon {
 public:
   explicit Daemon(const Settings &Config);
@@ -18,20 +18,20 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Begins to listen and to work; throws Poco::Exception where an address
-  /// cannot be had.
+  /// Starts listening and the background loops. Throws Poco::Exception where an
+  /// address cannot be bound.
   void start();
-  /// Begins a planned stop: no new work; what is in flight goes on.
+  /// Begins a graceful stop: refuses new work; requests in flight continue.
   void beginStop();
-  /// Whether nothing is in flight and others have taken over this daemon's
-  /// control work.
+  /// Whether no request is in flight and other daemons own this daemon's
+  /// control work, or the wait for that has timed out.
   bool isDrained() const;
-  /// Requests in flight.
+  /// Number of requests in flight.
   std::uint32_t inFlight() const;
 
 private:
   struct Parts;
-  std::unique_ptr<Parts> Inside;
+  std::unique_ptr<Parts> Impl;
 };
 
 } // namespace waycove
--- a/src/edge/forward.cpp
+++ b/src/edge/forward.cpp
@@ -7,7 +7,7 @@
 namespace waycove {
 
 bool PeerSink::head(int Status, const std::string &Type, Millis Retry,
-                    AnswerLength Length) {
+                    ResponseLength Length) {
   wire::ForwardHeadT Head;
   Head.status = static_cast<std::uint16_t>(Status);
   if (this->Error)
--- a/src/edge/forward.h
+++ b/src/edge/forward.h
@@ -10,75 +10,77 @@
 
 namespace waycove {
 
-/// How a request passed to another daemon went.
-enum class ForwardEnd { Done, NotSent, Unknown, CallerGone };
+/// Outcome of forwarding a request to another daemon. NotSent: it certainly did
+/// not run. Unknown: it may have run.
+enum class ForwardOutcome { Done, NotSent, Unknown, CallerGone };
 
-/// Passes requests to other daemons, each over a connection of its own, so no
-/// answer can be taken for another's.
+/// Forwards requests to other daemons. Each uses a new connection, so that
+/// responses cannot be mixed up.
 class Forwarder {
 public:
   explicit Forwarder(Board &Tables) : Tables(Tables) {}
 
-  /// Passes \p Request to \p Peer and the answer to \p Into. Where nothing of
-  /// the answer came, the sink is untouched and the result says what may be
-  /// told to the caller.
-  template <AnswerSink Sink>
-  ForwardEnd pass(const CallerRequest &Request, const Endpoint &Peer,
-                  Sink &Into) {
+  /// Forwards \p Request to \p Peer and its response to \p Sink. The sink is
+  /// unused where the outcome is NotSent or Unknown.
+  template <ResponseSink SinkT>
+  ForwardOutcome forward(const CallerRequest &Request, const Endpoint &Peer,
+                         SinkT &Sink) {
     auto Socket = FrameSocket::dial(Peer.Host, Peer.Port,
                                     this->Tables.Config.ConnectTimeout);
     if (!Socket.ok())
-      return ForwardEnd::NotSent;
+      return ForwardOutcome::NotSent;
     FrameSocket Frames(*Socket, this->Tables.Counters);
     TimePoint Now = SystemClock{}.now();
     if (!Frames.send(makeFrame(this->clock(), toForward(Request, Now))))
-      return ForwardEnd::Unknown;
+      return ForwardOutcome::Unknown;
     this->Tables.Counters.add(Counter::Forwards);
-    bool Begun = false;
+    bool HeadSent = false;
     while (true) {
-      auto Left = std::chrono::duration_cast<Millis>(Request.Deadline -
-                                                     SystemClock{}.now());
-      // The other daemon answers at the deadline; allow for the way back.
+      auto Remaining = std::chrono::duration_cast<Millis>(Request.Deadline -
+                                                          SystemClock{}.now());
+      // The peer responds by the deadline; allow for network latency.
       absl::StatusOr<wire::FrameT> Frame =
-          Frames.receive(std::max(Left, Millis(0)) + Millis(500));
+          Frames.receive(std::max(Remaining, Millis(0)) + Millis(500));
       if (!Frame.ok())
-        return this->broken(Begun, Into);
+        return this->connectionLost(HeadSent, Sink);
       this->Tables.Clock.merge(Frame->clock);
       if (const auto *Head = Frame->message.AsForwardHead()) {
-        Begun = true;
+        HeadSent = true;
         if (Head->error_ran > 0)
-          Into.note(static_cast<Ran>(Head->error_ran - 1));
-        AnswerLength Length;
+          Sink.setRan(static_cast<Ran>(Head->error_ran - 1));
+        ResponseLength Length;
         if (Head->has_length)
           Length = Head->length;
-        if (!Into.head(Head->status, Head->content_type,
+        if (!Sink.head(Head->status, Head->content_type,
                        Millis(static_cast<std::int64_t>(Head->retry_after_ms)),
                        Length))
-          return ForwardEnd::CallerGone;
+          return ForwardOutcome::CallerGone;
       } else if (const auto *Data = Frame->message.AsForwardData()) {
         std::string_view Bytes(
             reinterpret_cast<const char *>(Data->data.data()),
             Data->data.size());
-        if (!Into.data(Bytes))
-          return ForwardEnd::CallerGone;
-      } else if (const auto *End = Frame->message.AsForwardEnd()) {
-        if (End->whole)
-          Into.end();
+        if (!Sink.data(Bytes))
+          return ForwardOutcome::CallerGone;
+      } else if (const auto *EndMessage = Frame->message.AsForwardEnd()) {
+        if (EndMessage->whole)
+          Sink.end();
         else
-          Into.cut();
-        return ForwardEnd::Done;
+          Sink.cut();
+        return ForwardOutcome::Done;
       } else {
-        return this->broken(Begun, Into);
+        return this->connectionLost(HeadSent, Sink);
       }
     }
   }
 
 private:
-  template <AnswerSink Sink> ForwardEnd broken(bool Begun, Sink &Into) {
-    if (!Begun)
-      return ForwardEnd::Unknown;
-    Into.cut();
-    return ForwardEnd::Done;
+  /// Ends a response whose connection failed.
+  template <ResponseSink SinkT>
+  ForwardOutcome connectionLost(bool HeadSent, SinkT &Sink) {
+    if (!HeadSent)
+      return ForwardOutcome::Unknown;
+    Sink.cut();
+    return ForwardOutcome::Done;
   }
   std::uint64_t clock() {
     return this->Tables.Clock.tick(SystemClock{}.wall());
@@ -87,17 +89,17 @@
   Board &Tables;
 };
 
-/// Sends an answer back to the daemon that passed the request on.
+/// Sends a response to the daemon that forwarded the request.
 class PeerSink {
 public:
   PeerSink(FrameSocket &Frames, HybridClock &Clock)
       : Frames(Frames), Clock(Clock) {}
   bool head(int Status, const std::string &Type, Millis Retry,
-            AnswerLength Length);
+            ResponseLength Length);
   bool data(std::string_view Bytes);
   bool end();
   void cut();
-  void note(Ran Outcome) { this->Error = Outcome; }
+  void setRan(Ran Outcome) { this->Error = Outcome; }
 
 private:
   template <typename T> bool send(T Message) {
@@ -109,6 +111,6 @@
   std::optional<Ran> Error;
 };
 
-static_assert(AnswerSink<PeerSink>);
+static_assert(ResponseSink<PeerSink>);
 
 } // namespace waycove
--- a/src/edge/gate.cpp
+++ b/src/edge/gate.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Millis SlotsEvery(200);
+constexpr Millis LimitsUpdateInterval(200);
 
 } // namespace
 
-absl::StatusOr<TicketId> Gate::enter(const FairOffer &Offer) {
+absl::StatusOr<TicketId> AdmissionGate::enter(const FairOffer &Offer) {
   std::unique_lock Lock(this->Mutex);
   absl::StatusOr<TicketId> Ticket =
       this->Queue.offer(Offer, SystemClock{}.now());
@@ -36,52 +36,52 @@
   return Ticket;
 }
 
-void Gate::leave(TicketId Ticket, Tokens Spent) {
+void AdmissionGate::leave(TicketId Ticket, Tokens Spent) {
   std::lock_guard Lock(this->Mutex);
   this->Queue.finish(Ticket, Spent, SystemClock{}.now());
   this->grant(SystemClock{}.now());
 }
 
-void Gate::setLimits(std::size_t Slots, std::uint64_t RunningTokens) {
+void AdmissionGate::setLimits(std::size_t Slots, std::uint64_t RunningTokens) {
   std::lock_guard Lock(this->Mutex);
   this->Queue.setLimits(Slots, RunningTokens);
   this->grant(SystemClock{}.now());
 }
 
-bool Gate::slotsAreDue(TimePoint Now) {
+bool AdmissionGate::limitsUpdateDue(TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  if (Now - this->SlotsAt < SlotsEvery)
+  if (Now - this->LimitsUpdatedAt < LimitsUpdateInterval)
     return false;
-  this->SlotsAt = Now;
+  this->LimitsUpdatedAt = Now;
   return true;
 }
 
-std::size_t Gate::waiting() const {
+std::size_t AdmissionGate::waiting() const {
   std::lock_guard Lock(this->Mutex);
   return this->Queue.waiting();
 }
 
-void Gate::grant(TimePoint Now) {
-  bool Any = false;
+void AdmissionGate::grant(TimePoint Now) {
+  bool AnyGranted = false;
   while (auto Ticket = this->Queue.take(Now)) {
     this->Granted.push_back(*Ticket);
-    Any = true;
+    AnyGranted = true;
   }
-  if (Any)
+  if (AnyGranted)
     this->Changed.notify_all();
 }
 
-std::shared_ptr<Gate> Gates::find(const ObjectKey &Key) {
+std::shared_ptr<AdmissionGate> AdmissionGates::find(const ObjectKey &Key) {
   std::lock_guard Lock(this->Mutex);
-  auto &Row = this->Rows[Key];
-  if (!Row) {
+  auto &Gate = this->ByKey[Key];
+  if (!Gate) {
     FairLimits Limits;
     Limits.Slots = 1;
     Limits.QueuePerWorkspace = this->Config.QueuePerWorkspace;
     Limits.QueueTotal = 16 * this->Config.QueuePerWorkspace;
-    Row = std::make_shared<Gate>(Limits);
+    Gate = std::make_shared<AdmissionGate>(Limits);
   }
-  return Row;
+  return Gate;
 }
 
 } // namespace waycove
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -11,21 +11,22 @@
 
 namespace waycove {
 
-/// Admission to one deployment or service: a fair queue with a lock, in which
-/// request threads wait for their turn.
-class Gate {
+/// Admission to one deployment or service: a fair queue in which request
+/// threads wait for a slot. Thread-safe.
+class AdmissionGate {
 public:
-  explicit Gate(FairLimits Limits) : Queue(Limits) {}
+  explicit AdmissionGate(FairLimits Limits) : Queue(Limits) {}
 
-  /// Waits for a slot. Errors: Overloaded, at once where the wait would pass
-  /// the deadline, or DeadlineBeforeRun.
+  /// Waits for a slot. Errors: Overloaded at once where the predicted wait
+  /// exceeds the deadline; DeadlineBeforeRun where the deadline passes in the
+  /// queue.
   absl::StatusOr<TicketId> enter(const FairOffer &Offer);
   void leave(TicketId Ticket, Tokens Spent);
   void setLimits(std::size_t Slots, std::uint64_t RunningTokens);
   std::size_t waiting() const;
-  /// Whether the number of slots should be worked out again; says yes to one
-  /// caller in a while.
-  bool slotsAreDue(TimePoint Now);
+  /// Whether the limits are due for an update. Returns true to one thread per
+  /// interval.
+  bool limitsUpdateDue(TimePoint Now);
 
 private:
   void grant(TimePoint Now);
@@ -33,35 +34,35 @@
   mutable std::mutex Mutex;
   std::condition_variable Changed;
   FairQueue Queue;
-  TimePoint SlotsAt;
+  TimePoint LimitsUpdatedAt;
   std::vector<TicketId> Granted;
 };
 
-/// The gates of all deployments and services.
-class Gates {
+/// The gates of all deployments and services, created on first use.
+class AdmissionGates {
 public:
-  explicit Gates(const Settings &Config) : Config(Config) {}
-  std::shared_ptr<Gate> find(const ObjectKey &Key);
+  explicit AdmissionGates(const Settings &Config) : Config(Config) {}
+  std::shared_ptr<AdmissionGate> find(const ObjectKey &Key);
 
 private:
   const Settings &Config;
   std::mutex Mutex;
-  std::map<ObjectKey, std::shared_ptr<Gate>> Rows;
+  std::map<ObjectKey, std::shared_ptr<AdmissionGate>> ByKey;
 };
 
-/// Holds a slot of a gate while it lives.
-class GatePass {
+/// Releases a slot of a gate on destruction.
+class AdmissionPermit {
 public:
-  GatePass(std::shared_ptr<Gate> Owner, TicketId Ticket)
-      : Owner(std::move(Owner)), Ticket(Ticket) {}
-  ~GatePass() { this->Owner->leave(this->Ticket, this->Spent); }
-  GatePass(const GatePass &) = delete;
-  GatePass &operator=(const GatePass &) = delete;
-  /// Work done, in tokens.
+  AdmissionPermit(std::shared_ptr<AdmissionGate> Gate, TicketId Ticket)
+      : Gate(std::move(Gate)), Ticket(Ticket) {}
+  ~AdmissionPermit() { this->Gate->leave(this->Ticket, this->Spent); }
+  AdmissionPermit(const AdmissionPermit &) = delete;
+  AdmissionPermit &operator=(const AdmissionPermit &) = delete;
+  /// Actual cost of the request, in tokens.
   Tokens Spent{1};
 
 private:
-  std::shared_ptr<Gate> Owner;
+  std::shared_ptr<AdmissionGate> Gate;
   TicketId Ticket;
 };
 
--- a/src/edge/operators.h
+++ b/src/edge/operators.h
@@ -11,37 +11,38 @@
 
 namespace waycove {
 
-/// Time that a publication waits for the fold to pass it.
+/// Timeout for a change to be appended and folded.
 constexpr Millis ApplyTimeout(10000);
 
-/// Everything that operators see and do over HTTP, below /operator/v1/:
+/// The operators' HTTP API below /operator/v1/:
 ///   GET  objects?kind=K&name=N   published objects with their revisions
 ///   POST apply                   {"kind", "name", "base", "body", "removed"}
 ///   GET  status                  groups, VMs, daemons, counts
-///   GET  events?after=CLOCK      the time line's rows
+///   GET  events?after=CLOCK      logged events
 template <LogService Service> class Operators {
 public:
   Operators(Board &Tables, Submitter<Service> &Submit)
       : Tables(Tables), Submit(Submit) {}
 
-  void handle(Poco::Net::HTTPServerRequest &Request, HttpSink &Into) {
-    if (digestKey(bearerOf(Request)) != this->Tables.Config.OperatorKeyDigest) {
-      sendError(Into, makeError(ErrorKind::Unauthenticated,
+  void handle(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
+    if (digestKey(bearerToken(Request)) !=
+        this->Tables.Config.OperatorKeyDigest) {
+      sendError(Sink, makeError(ErrorKind::Unauthenticated,
                                 "the operator key is wrong"));
       return;
     }
     Poco::URI Uri(Request.getURI());
     const std::string &Path = Uri.getPath();
     if (Path == "/operator/v1/objects")
-      sendWhole(Into, 200, "application/json", this->objects(Uri));
+      sendWhole(Sink, 200, "application/json", this->objects(Uri));
     else if (Path == "/operator/v1/apply")
-      this->apply(Request, Into);
+      this->apply(Request, Sink);
     else if (Path == "/operator/v1/status")
-      sendWhole(Into, 200, "application/json", this->status());
+      sendWhole(Sink, 200, "application/json", this->status());
     else if (Path == "/operator/v1/events")
-      sendWhole(Into, 200, "application/json", this->events(Uri));
+      sendWhole(Sink, 200, "application/json", this->events(Uri));
     else
-      sendError(Into, makeError(ErrorKind::NotFound, "no such path"));
+      sendError(Sink, makeError(ErrorKind::NotFound, "no such path"));
   }
 
 private:
@@ -76,14 +77,14 @@
     return dumpJson(Body);
   }
 
-  void apply(Poco::Net::HTTPServerRequest &Request, HttpSink &Into) {
+  void apply(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
     absl::StatusOr<std::string> Text =
         readBody(Request, this->Tables.Config.MaxBodyBytes);
     absl::StatusOr<JsonObject> Body =
         Text.ok() ? parseJson(*Text)
                   : absl::StatusOr<JsonObject>(Text.status());
     if (!Body.ok()) {
-      sendError(Into, Body.status());
+      sendError(Sink, Body.status());
       return;
     }
     wire::ConfigChangeT Change;
@@ -92,29 +93,29 @@
     Change.base = numberAt(*Body, "base");
     Change.body = textAt(*Body, "body");
     Change.removed = flagAt(*Body, "removed", false);
-    // What cannot be accepted is not sent to the log.
+    // Validate before appending to the log.
     if (!Change.removed) {
       ValidationErrors Found;
       parseObjects("object", Change.body, Found);
       if (!Found.empty()) {
-        sendError(Into, makeError(ErrorKind::InvalidObject, Found.text()));
+        sendError(Sink, makeError(ErrorKind::InvalidObject, Found.text()));
         return;
       }
     }
     absl::StatusOr<FoldOutcome> Outcome = this->Submit.submit(
         std::move(Change), SystemClock{}.now() + ApplyTimeout);
     if (!Outcome.ok()) {
-      sendError(Into, Outcome.status());
+      sendError(Sink, Outcome.status());
       return;
     }
     if (!Outcome->Accepted) {
-      sendError(Into, makeError(ErrorKind::Conflict, Outcome->Reason));
+      sendError(Sink, makeError(ErrorKind::Conflict, Outcome->Reason));
       return;
     }
-    Poco::JSON::Object Answer;
-    Answer.set("accepted", true);
-    Answer.set("reason", Outcome->Reason);
-    sendWhole(Into, 200, "application/json", dumpJson(Answer));
+    Poco::JSON::Object Response;
+    Response.set("accepted", true);
+    Response.set("reason", Outcome->Reason);
+    sendWhole(Sink, 200, "application/json", dumpJson(Response));
   }
 
   std::string status() {
@@ -151,7 +152,7 @@
         Out.set("domain", Formed.Domain.Text);
         Out.set("vms", Vms);
         bool Here = Formed.Place.DataCentre == this->Tables.Self.DataCentre;
-        // Of other data centres' groups only their own daemons know.
+        // Whether a group serves is known only in its own data centre.
         if (Here)
           Out.set("serves", this->isRouted(Formed) &&
                                 this->Tables.isGroupServing(Id, Now));
@@ -161,7 +162,7 @@
     return Rows;
   }
 
-  /// Whether requests can find the group: it is in its deployment's view.
+  /// Whether the group is in its deployment's route view.
   bool isRouted(const Group &Formed) const {
     ViewRef View = this->Tables.Views.read([&](const ViewTable &Views) {
       return Views.find({ObjectKind::Deployment, Formed.Place.Deployment.Text});
--- a/src/edge/placement.cpp
+++ b/src/edge/placement.cpp
@@ -9,11 +9,9 @@
 
 namespace waycove {
 
-/// Joins all that says where the request may land. Denies where any part of
-/// it is unknown.
-absl::StatusOr<Plan> Placement::plan(const CallerRequest &Request) const {
+absl::StatusOr<RoutePlan> Placement::plan(const CallerRequest &Request) const {
   return this->Tables.State.read(
-      [&](const FoldState &State) -> absl::StatusOr<Plan> {
+      [&](const FoldState &State) -> absl::StatusOr<RoutePlan> {
         const auto *Owner = State.spec<Workspace>(ObjectKind::Workspace,
                                                   Request.Workspace.Text);
         if (!Owner)
@@ -24,20 +22,21 @@
                            "there is no " + Request.Target.text());
         const auto *Model = Target->as<Deployment>();
         const auto *Endpoint = Target->as<Service>();
-        const Selector &Who = Model ? Model->Workspaces : Endpoint->Workspaces;
-        if (!Who.matches(Owner->Own))
+        const Selector &AllowedWorkspaces =
+            Model ? Model->Workspaces : Endpoint->Workspaces;
+        if (!AllowedWorkspaces.matches(Owner->Own))
           return makeError(ErrorKind::NotAllowed, "not open to this workspace");
-        std::optional<Selector> Own =
+        std::optional<Selector> Match =
             Model ? State.resolve(Model->Match, Model->Selectors)
                   : State.resolve(Endpoint->Match, Endpoint->Selectors);
         std::optional<Selector> Allow =
             State.resolve(Owner->Allow, Owner->Selectors);
-        if (!Own || !Allow)
+        if (!Match || !Allow)
           return makeError(ErrorKind::NotAllowed,
                            "a selector that it names does not exist");
-        Plan Result;
+        RoutePlan Result;
         Result.Wanted = Request.Wanted;
-        Result.Wanted.narrow(*Own);
+        Result.Wanted.narrow(*Match);
         Result.Wanted.narrow(*Allow);
         Result.Weight = Owner->Weight;
         Result.View = this->Tables.Views.read(
@@ -48,7 +47,6 @@
       });
 }
 
-/// Whether \p Target may be sent work right now, labels aside.
 bool Placement::serves(const RouteTarget &Target) const {
   WallMs Now = SystemClock{}.wall();
   bool Leaving = this->Tables.Vms.read([&](const VmTable &Vms) {
@@ -61,35 +59,35 @@
          this->Tables.isGroupServing(Target.Group, SystemClock{}.now());
 }
 
-absl::Status Placement::whyNot(const Plan &Way) const {
-  bool Any = std::any_of(
-      Way.View->Targets.begin(), Way.View->Targets.end(),
-      [&](const RouteTarget &Row) { return Row.allows(Way.Wanted); });
-  if (Any || Way.View->Targets.empty())
+absl::Status Placement::noTargetError(const RoutePlan &Plan) const {
+  bool AnyAllowed = std::any_of(
+      Plan.View->Targets.begin(), Plan.View->Targets.end(),
+      [&](const RouteTarget &Target) { return Target.allows(Plan.Wanted); });
+  if (AnyAllowed || Plan.View->Targets.empty())
     return makeError(ErrorKind::NoCapacity, "no target is serving",
-                     ComeBackSoon);
+                     DefaultRetryAfter);
   return makeError(ErrorKind::NotAllowed, "the labels allow no target");
 }
 
-/// Other data centres that may hold an allowed target, as far as their own
-/// labels say; they check again.
-std::vector<DataCentreId> Placement::elsewhere(const CallerRequest &Request,
-                                               const Plan &Way) const {
-  std::vector<DataCentreId> Known = this->knownCentres(Request);
+std::vector<DataCentreId>
+Placement::otherDataCentres(const CallerRequest &Request,
+                            const RoutePlan &Plan) const {
+  std::vector<DataCentreId> Candidates = this->candidateDataCentres(Request);
   return this->Tables.State.read([&](const FoldState &State) {
     std::vector<DataCentreId> Found;
-    for (const DataCentreId &Centre : Known) {
-      Labels Own;
-      if (const auto *Row =
+    for (const DataCentreId &Centre : Candidates) {
+      Labels CentreLabels;
+      if (const auto *Spec =
               State.spec<DataCentre>(ObjectKind::DataCentre, Centre.Text))
-        Own = Row->Own;
-      Own.set("data_centre", Centre.Text);
+        CentreLabels = Spec->Own;
+      CentreLabels.set("data_centre", Centre.Text);
       bool Possible =
-          std::all_of(Way.Wanted.rows().begin(), Way.Wanted.rows().end(),
-                      [&](const Requirement &Row) {
-                        Selector One;
-                        One.require(Row);
-                        return !Own.find(Row.Key) || One.matches(Own);
+          std::all_of(Plan.Wanted.rows().begin(), Plan.Wanted.rows().end(),
+                      [&](const Requirement &Required) {
+                        Selector Single;
+                        Single.require(Required);
+                        return !CentreLabels.find(Required.Key) ||
+                               Single.matches(CentreLabels);
                       });
       if (Possible)
         Found.push_back(Centre);
@@ -99,33 +97,33 @@
 }
 
 std::vector<DataCentreId>
-Placement::knownCentres(const CallerRequest &Request) const {
+Placement::candidateDataCentres(const CallerRequest &Request) const {
   std::set<DataCentreId> Found;
   this->Tables.State.read([&](const FoldState &State) {
-    ObjectRef Row = State.object(Request.Target);
-    const auto *Spec = Row ? Row->as<Deployment>() : nullptr;
+    ObjectRef Object = State.object(Request.Target);
+    const auto *Spec = Object ? Object->as<Deployment>() : nullptr;
     if (Spec)
       for (const ReplicaCount &Count : Spec->Replicas)
         if (Count.Replicas > 0)
           Found.insert(Count.DataCentre);
   });
   if (Request.Target.Kind == ObjectKind::Service)
-    for (const Member &Row : this->Tables.members(SystemClock{}.now()))
-      Found.insert(Row.DataCentre);
+    for (const Member &Daemon : this->Tables.members(SystemClock{}.now()))
+      Found.insert(Daemon.DataCentre);
   Found.erase(this->Tables.Self.DataCentre);
   return {Found.begin(), Found.end()};
 }
 
-std::optional<Endpoint> Placement::entryIn(const DataCentreId &Centre,
-                                           std::uint64_t Random) const {
+std::optional<Endpoint> Placement::pickDaemon(const DataCentreId &Centre,
+                                              std::uint64_t Random) const {
   return this->Tables.Peers.read(
-      [&](const PeerTable &Rows) -> std::optional<Endpoint> {
+      [&](const PeerTable &Table) -> std::optional<Endpoint> {
         std::vector<NodeHash> Live =
-            Rows.servingNodes(Centre, SystemClock{}.now());
+            Table.servingNodes(Centre, SystemClock{}.now());
         if (Live.empty())
           return std::nullopt;
-        const Peer *Row = Rows.find(Live[Random % Live.size()]);
-        return Endpoint{Row->Row.host, Row->Row.peer_port};
+        const Peer *Chosen = Table.find(Live[Random % Live.size()]);
+        return Endpoint{Chosen->Row.host, Chosen->Row.peer_port};
       });
 }
 
--- a/src/edge/placement.h
+++ b/src/edge/placement.h
@@ -9,35 +9,43 @@
 
 namespace waycove {
 
-/// A refused caller with no better advice comes back after this.
-constexpr Millis ComeBackSoon(1000);
+/// Retry-After of refusals that have no better estimate.
+constexpr Millis DefaultRetryAfter(1000);
 
-/// Where a request may land, once all that says so is joined.
-struct Plan {
+/// The targets of a request's deployment or service, and the label requirements
+/// that they must meet.
+struct RoutePlan {
   ViewRef View;
   Selector Wanted;
   std::uint64_t Weight = 1;
 };
 
-/// Answers, for one request, which targets and data centres its labels, its
-/// workspace and its deployment allow. Denies by default. Reads the blackboard
-/// only.
+/// Determines which targets and data centres a request may use, given its
+/// labels, workspace, and deployment or service. Denies by default. Only reads
+/// the blackboard.
 class Placement {
 public:
   explicit Placement(Board &Tables) : Tables(Tables) {}
 
-  absl::StatusOr<Plan> plan(const CallerRequest &Request) const;
+  /// Combines the requirements of the request, its workspace and its
+  /// deployment or service. Errors: NotAllowed, also where a selector cannot be
+  /// resolved; NotFound.
+  absl::StatusOr<RoutePlan> plan(const CallerRequest &Request) const;
+  /// Whether \p Target can be sent work now, regardless of labels.
   bool serves(const RouteTarget &Target) const;
-  /// The error to give where no target here may be used.
-  absl::Status whyNot(const Plan &Way) const;
-  std::vector<DataCentreId> elsewhere(const CallerRequest &Request,
-                                      const Plan &Way) const;
-  /// A serving daemon of \p Centre.
-  std::optional<Endpoint> entryIn(const DataCentreId &Centre,
-                                  std::uint64_t Random) const;
+  /// The error to return where no local target may be used.
+  absl::Status noTargetError(const RoutePlan &Plan) const;
+  /// Other data centres whose labels do not rule out a target for the request.
+  /// They check the labels of their targets themselves.
+  std::vector<DataCentreId> otherDataCentres(const CallerRequest &Request,
+                                             const RoutePlan &Plan) const;
+  /// The peer address of a serving daemon in \p Centre, chosen by \p Random.
+  std::optional<Endpoint> pickDaemon(const DataCentreId &Centre,
+                                     std::uint64_t Random) const;
 
 private:
-  std::vector<DataCentreId> knownCentres(const CallerRequest &Request) const;
+  std::vector<DataCentreId>
+  candidateDataCentres(const CallerRequest &Request) const;
 
   Board &Tables;
 };
--- a/src/edge/platform.cpp
+++ b/src/edge/platform.cpp
@@ -21,8 +21,8 @@
   return Stream == LogStream::Records ? "/log/records" : "/log/checkpoints";
 }
 
-/// Callers of the log know two failures: certainly nothing was done, and
-/// perhaps something was.
+/// Maps a call's error to LogUnavailable where it certainly had no effect, else
+/// to OutcomeUnknown.
 absl::Status asLogError(const absl::Status &Status) {
   ErrorKind Kind = kindOf(Status) == ErrorKind::NoCapacity
                        ? ErrorKind::LogUnavailable
@@ -30,7 +30,7 @@
   return makeError(Kind, messageOf(Status), Millis(1000));
 }
 
-/// The era of the platform's store that \p Reply names; zero where it does not.
+/// The store era from the headers of \p Reply; zero where absent or invalid.
 StoreEra eraOfReply(const HttpReply &Reply) {
   Poco::UInt64 Era = 0;
   Poco::NumberParser::tryParseUnsigned64(Reply.Header.get("Store-Era", ""),
@@ -59,15 +59,15 @@
   return Rows.isNull() ? Poco::JSON::Array::Ptr(new Poco::JSON::Array) : Rows;
 }
 
-VmInfo vmFromJson(const JsonObject &Row) {
+VmInfo vmFromJson(const JsonObject &Fields) {
   VmInfo Info;
-  Info.Id = VmId(textAt(Row, "id"));
-  Info.DataCentre = DataCentreId(textAt(Row, "data_centre"));
-  Info.Domain = DomainId(textAt(Row, "domain"));
-  Info.Address = {textAt(Row, "host"),
-                  static_cast<std::uint16_t>(numberAt(Row, "port"))};
-  Info.ListedLeaving = textAt(Row, "state") == "leaving";
-  if (JsonObject Pairs = Row->getObject("labels"); !Pairs.isNull())
+  Info.Id = VmId(textAt(Fields, "id"));
+  Info.DataCentre = DataCentreId(textAt(Fields, "data_centre"));
+  Info.Domain = DomainId(textAt(Fields, "domain"));
+  Info.Address = {textAt(Fields, "host"),
+                  static_cast<std::uint16_t>(numberAt(Fields, "port"))};
+  Info.ListedLeaving = textAt(Fields, "state") == "leaving";
+  if (JsonObject Pairs = Fields->getObject("labels"); !Pairs.isNull())
     for (const auto &[Key, Value] : *Pairs)
       if (Value.isString())
         Info.OwnLabels.set(Key, Value.extract<std::string>());
@@ -125,7 +125,7 @@
 }
 
 HttpVmList::HttpVmList(const Settings &Config, Metrics &Counters)
-    : Caller(Config.Platform, Config.ConnectTimeout, Counters, PlatformBytes) {}
+    : Client(Config.Platform, Config.ConnectTimeout, Counters, PlatformBytes) {}
 
 absl::StatusOr<VmPage> HttpVmList::list(const DataCentreId &Centre,
                                         std::uint64_t Since) {
@@ -135,7 +135,7 @@
                 "",
                 "",
                 {}};
-  absl::StatusOr<HttpReply> Reply = this->Caller.call(Call, CallTimeout);
+  absl::StatusOr<HttpReply> Reply = this->Client.call(Call, CallTimeout);
   absl::StatusOr<JsonObject> Body = jsonReply(Reply);
   if (!Body.ok())
     return Body.status();
--- a/src/edge/platform.h
+++ b/src/edge/platform.h
@@ -10,13 +10,13 @@
 
 namespace waycove {
 
-/// The platform's log over HTTP:
-///   POST /log/STREAM            body: the record; answer {"offset": N}
+/// Accesses the platform's log over HTTP:
+///   POST /log/STREAM            body: the record; response {"offset": N}
 ///   GET  /log/STREAM?from=N&max=M&wait_ms=W
-///        answer {"first": F, "next": N, "records": [{"offset", "data"}]},
-///        data in base64. Waits up to W for a record.
-/// In all answers, Store-Era tells how often the platform came back from an
-/// older copy of itself; it is part of the offsets given here.
+///        response {"first": F, "next": N, "records": [{"offset", "data"}]},
+///        data in base64. Waits up to W ms for a record.
+/// The header Store-Era of each response counts how often the platform's store
+/// was restored from an older copy. It is part of the offsets returned here.
 class HttpLog {
 public:
   HttpLog(const Settings &Config, Metrics &Counters);
@@ -29,16 +29,17 @@
   HttpClient Writer;
 };
 
-/// The list over HTTP: GET /vms?data_centre=X&since=V, answer {"version",
-/// "whole", "vms": [{"id", "data_centre", "domain", "host", "port", "state":
-/// "live"|"leaving"|"gone", "labels"}]}.
+/// Accesses the platform's list of VMs over HTTP:
+/// GET /vms?data_centre=X&since=V, response {"version", "whole", "vms": [{"id",
+/// "data_centre", "domain", "host", "port", "state": "live"|"leaving"|"gone",
+/// "labels"}]}.
 class HttpVmList {
 public:
   HttpVmList(const Settings &Config, Metrics &Counters);
   absl::StatusOr<VmPage> list(const DataCentreId &Centre, std::uint64_t Since);
 
 private:
-  HttpClient Caller;
+  HttpClient Client;
 };
 
 static_assert(LogService<HttpLog>);
--- a/src/edge/request.cpp
+++ b/src/edge/request.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::size_t MaxKept = 16 << 20;
+constexpr std::size_t MaxBufferedBytes = 16 << 20;
 
 } // namespace
 
 bool MemorySink::head(int Status, const std::string &Type, Millis Retry,
-                      AnswerLength) {
+                      ResponseLength) {
   this->Answer.HttpStatus = Status;
   this->Answer.ContentType = Type;
   this->RetryAfter = Retry;
@@ -21,7 +21,7 @@
 }
 
 bool MemorySink::data(std::string_view Bytes) {
-  if (this->Answer.Body.size() + Bytes.size() > MaxKept)
+  if (this->Answer.Body.size() + Bytes.size() > MaxBufferedBytes)
     return false;
   this->Answer.Body += Bytes;
   return true;
@@ -54,9 +54,9 @@
   Frame.repeatable = Request.Repeatable;
   Frame.stream = Request.Stream;
   Frame.priority = static_cast<std::uint8_t>(Request.Priority);
-  auto Left = std::chrono::duration_cast<Millis>(Request.Deadline - Now);
+  auto Remaining = std::chrono::duration_cast<Millis>(Request.Deadline - Now);
   Frame.deadline_ms =
-      static_cast<std::uint64_t>(std::max<std::int64_t>(Left.count(), 0));
+      static_cast<std::uint64_t>(std::max<std::int64_t>(Remaining.count(), 0));
   Frame.max_tokens = static_cast<std::uint32_t>(Request.MaxTokens);
   Frame.prompt = Request.Prompt;
   Frame.bound = Request.Bound;
@@ -86,10 +86,10 @@
   Request.Repeatable = Frame.repeatable;
   Request.Stream = Frame.stream;
   Request.Priority = Frame.priority;
-  constexpr std::uint64_t MostMs = 3600000;
+  constexpr std::uint64_t MaxDeadlineMs = 3600000;
   Request.Deadline =
       Now + Millis(static_cast<std::int64_t>(
-                std::min<std::uint64_t>(Frame.deadline_ms, MostMs)));
+                std::min<std::uint64_t>(Frame.deadline_ms, MaxDeadlineMs)));
   Request.Prompt = Frame.prompt;
   Request.MaxTokens = Frame.max_tokens;
   Request.Forwarded = true;
--- a/src/edge/request.h
+++ b/src/edge/request.h
@@ -14,11 +14,11 @@
 
 namespace waycove {
 
-/// One request of a caller, checked for form.
+/// A caller's request after validation.
 struct CallerRequest {
   RequestId Id;
   WorkspaceId Workspace;
-  /// Deployment for a model request, or service.
+  /// A deployment for model requests, else a service.
   ObjectKey Target;
   std::string Method;
   std::string Path;
@@ -34,62 +34,63 @@
   TimePoint Deadline;
   std::string Prompt;
   std::uint64_t MaxTokens = 0;
-  /// Came from another daemon: it is not passed on again.
+  /// Received from another daemon, so not forwarded to a further data centre.
   bool Forwarded = false;
-  /// Came because this daemon is to dispatch the request's key.
+  /// Forwarded to this daemon as the dispatcher of the request's key.
   bool Bound = false;
 };
 
-/// Bytes of the answer's body; nothing for a stream of unknown length.
-using AnswerLength = std::optional<std::uint64_t>;
+/// Length of the response body in bytes; nullopt for a stream.
+using ResponseLength = std::optional<std::uint64_t>;
 
-/// Where an answer goes. note() tells, for an error, whether the request
-/// ran, and comes first; head() begins it; data() returns false where the
-/// receiver is gone; end() marks it whole; cut() makes the receiver see that
-/// it is not.
+/// Receives a response. setRan() says for an error whether the request ran and
+/// precedes head(), which starts the response. head(), data() and end() return
+/// false where the receiver has disconnected. end() completes the response;
+/// cut() ends it so that the receiver detects that it is incomplete.
 template <typename T>
-concept AnswerSink = requires(T &S, int Status, const std::string &Type,
-                              Millis Retry, std::string_view Bytes, Ran Outcome,
-                              AnswerLength Length) {
-  S.note(Outcome);
+concept ResponseSink = requires(T &S, int Status, const std::string &Type,
+                                Millis Retry, std::string_view Bytes,
+                                Ran Outcome, ResponseLength Length) {
+  S.setRan(Outcome);
   { S.head(Status, Type, Retry, Length) } -> std::same_as<bool>;
   { S.data(Bytes) } -> std::same_as<bool>;
   { S.end() } -> std::same_as<bool>;
   S.cut();
 };
 
-/// Sends a whole answer with a known body.
-template <AnswerSink Sink>
-bool sendWhole(Sink &Into, int Status, const std::string &Type,
+/// Sends a complete response.
+template <ResponseSink SinkT>
+bool sendWhole(SinkT &Sink, int Status, const std::string &Type,
                const std::string &Body, Millis RetryAfter = Millis(0)) {
-  return Into.head(Status, Type, RetryAfter, Body.size()) && Into.data(Body) &&
-         Into.end();
+  return Sink.head(Status, Type, RetryAfter, Body.size()) && Sink.data(Body) &&
+         Sink.end();
 }
 
-template <AnswerSink Sink>
-bool sendError(Sink &Into, const absl::Status &Status) {
-  Into.note(ranOf(Status));
-  return sendWhole(Into, responseFor(kindOf(Status)).HttpStatus,
+/// Sends the error response for \p Status.
+template <ResponseSink SinkT>
+bool sendError(SinkT &Sink, const absl::Status &Status) {
+  Sink.setRan(ranOf(Status));
+  return sendWhole(Sink, responseFor(kindOf(Status)).HttpStatus,
                    "application/json", errorJson(Status), retryAfterOf(Status));
 }
 
-/// Sends the error, and returns it.
-template <AnswerSink Sink>
-absl::Status refuse(Sink &Into, const absl::Status &Status) {
-  sendError(Into, Status);
+/// Sends the error response for \p Status and returns \p Status.
+template <ResponseSink SinkT>
+absl::Status refuse(SinkT &Sink, const absl::Status &Status) {
+  sendError(Sink, Status);
   return Status;
 }
 
-/// A sink that keeps a whole answer in memory, up to a bound.
+/// Buffers a response of bounded size in memory.
 class MemorySink {
 public:
   bool head(int Status, const std::string &Type, Millis Retry,
-            AnswerLength Length);
+            ResponseLength Length);
   bool data(std::string_view Bytes);
   bool end();
   void cut() { this->WasCut = true; }
-  void note(Ran Outcome) { this->Error = Outcome; }
-  /// What may be believed of the request whose answer this is.
+  void setRan(Ran Outcome) { this->Error = Outcome; }
+  /// Whether the request ran; unknown where the response is incomplete.
   Ran ran() const;
 
   StoredAnswer Answer;
@@ -100,12 +101,13 @@
 };
 
 wire::ForwardT toForward(const CallerRequest &Request, TimePoint Now);
-/// Errors: BadRequest where the frame's fields make no request.
+/// Errors: BadRequest where the frame is not a valid request.
 absl::StatusOr<CallerRequest> fromForward(const wire::ForwardT &Frame,
                                           TimePoint Now);
-/// What tells two requests with the same key apart.
+/// A hash of the request's target, method, path and body. Detects reuse of an
+/// idempotency key for a different request.
 std::uint64_t fingerprintOf(const CallerRequest &Request);
 
-static_assert(AnswerSink<MemorySink>);
+static_assert(ResponseSink<MemorySink>);
 
 } // namespace waycove
--- a/src/edge/serve.h
+++ b/src/edge/serve.h
@@ -11,37 +11,39 @@
 
 namespace waycove {
 
-/// Who dispatches a request's key.
+/// Decides which daemon dispatches a request's key.
 template <typename T>
 concept KeyBinder = requires(T &B, const ClaimId &Id, WallMs Issued,
                              TimePoint Until) {
   { B.bind(Id, Issued, Until) } -> std::same_as<absl::StatusOr<IncarnationId>>;
 };
 
-/// Time that a keyed request waits for the one that runs under its key.
-constexpr Millis OncePoll(10);
-/// Daemons of one data centre that a request is offered to.
-constexpr std::size_t EntriesTried = 3;
+/// Interval at which a request polls for another one with the same key.
+constexpr Millis KeyPollInterval(10);
+/// Max daemons of one data centre that a request is forwarded to.
+constexpr std::size_t MaxDaemonsPerDataCentre = 3;
 
-/// The life of a caller's request: where may it land, when may it run, which
-/// target, what when that fails, and an honest end. Thread-safe; each request
-/// is served by the thread that brought it.
+/// Serves callers' requests: placement, idempotency, forwarding to other data
+/// centres, and dispatch to the model or plain server. Thread-safe; each
+/// request is served on the calling thread.
 template <EngineService Engine, PlainService Plain, KeyBinder Binder>
 class Server {
 public:
   Server(Board &Tables, Engine &Models, Plain &Services, Binder &Keys,
-         Forwarder &Others)
-      : Tables(Tables), Keys(Keys), Others(Others), Places(Tables),
-        Doors(Tables, Places), Tries(Tables, Places),
-        ForModels(Tables, Models, Doors, Tries),
-        ForServices(Tables, Services, Doors, Tries) {}
+         Forwarder &PeerForwarder)
+      : Tables(Tables), Keys(Keys), PeerForwarder(PeerForwarder),
+        PlacementRules(Tables), AdmissionControl(Tables, PlacementRules),
+        TargetAttempts(Tables, PlacementRules),
+        ModelRequests(Tables, Models, AdmissionControl, TargetAttempts),
+        ServiceRequests(Tables, Services, AdmissionControl, TargetAttempts) {}
 
-  /// Answers \p Request into \p Into, whole or visibly not.
-  template <AnswerSink Sink>
-  void serve(const CallerRequest &Request, Sink &Into) {
+  /// Serves \p Request. The response in \p Sink is either complete or visibly
+  /// incomplete.
+  template <ResponseSink SinkT>
+  void serve(const CallerRequest &Request, SinkT &Sink) {
     this->Tables.InFlight.fetch_add(1);
     auto Began = SystemClock{}.now();
-    absl::Status Result = this->serveChecked(Request, Into);
+    absl::Status Result = this->serveChecked(Request, Sink);
     this->Tables.InFlight.fetch_sub(1);
     if (Result.ok()) {
       this->Tables.Counters.add(Counter::RequestsDone);
@@ -56,103 +58,111 @@
                               messageOf(Result));
   }
 
-  /// A key that this daemon alone may dispatch, without asking the log.
+  /// Creates a key that only this daemon may dispatch, without using the log.
   IdempotencyKey mintTicket() {
     return makeTicket(SystemClock{}.wall(), this->Tables.Self.Incarnation,
                       this->NextTicket.fetch_add(1));
   }
 
 private:
-  /// Refuses before it is known who dispatches the request's key, if it has
-  /// one: then nobody here can say that it did not run.
-  template <AnswerSink Sink>
-  static absl::Status refuseEarly(const CallerRequest &Request, Sink &Into,
-                                  const absl::Status &Status) {
-    return refuse(Into,
+  /// Refuses a request before the dispatcher of its key is known. A request
+  /// with a key may have run on another daemon, so its outcome is unknown.
+  template <ResponseSink SinkT>
+  static absl::Status refuseUnclaimed(const CallerRequest &Request, SinkT &Sink,
+                                      const absl::Status &Status) {
+    return refuse(Sink,
                   Request.Key.empty() ? Status : markOutcomeUnknown(Status));
   }
 
-  template <AnswerSink Sink>
-  absl::Status serveChecked(const CallerRequest &Request, Sink &Into) {
-    // 1. May this daemon take work at all?
+  /// Serves the request and returns the error that it ended with, if any.
+  template <ResponseSink SinkT>
+  absl::Status serveChecked(const CallerRequest &Request, SinkT &Sink) {
+    // 1. Check that this daemon accepts work.
     if (this->Tables.Stopping && !Request.Forwarded)
-      return this->refuseEarly(Request, Into,
-                               makeError(ErrorKind::Stopping,
-                                         "this node is stopping",
-                                         ComeBackSoon));
+      return this->refuseUnclaimed(Request, Sink,
+                                   makeError(ErrorKind::Stopping,
+                                             "this node is stopping",
+                                             DefaultRetryAfter));
     if (!this->Tables.Ready)
-      return this->refuseEarly(Request, Into,
-                               makeError(ErrorKind::NotReady,
-                                         "no current configuration yet",
-                                         ComeBackSoon));
-    // 2. Where do the labels allow it?
-    absl::StatusOr<Plan> Way = this->Places.plan(Request);
-    if (!Way.ok())
-      return this->refuseEarly(Request, Into, Way.status());
-    // 3. Keyed requests are dispatched once, by one daemon.
+      return this->refuseUnclaimed(Request, Sink,
+                                   makeError(ErrorKind::NotReady,
+                                             "no current configuration yet",
+                                             DefaultRetryAfter));
+    // 2. Determine the allowed targets.
+    absl::StatusOr<RoutePlan> Plan = this->PlacementRules.plan(Request);
+    if (!Plan.ok())
+      return this->refuseUnclaimed(Request, Sink, Plan.status());
+    // 3. Keyed requests are dispatched at most once, by one daemon.
     if (!Request.Key.empty() && !Request.Repeatable)
-      return this->serveOnce(Request, *Way, Into);
-    return this->place(Request, *Way, Into);
+      return this->serveOnce(Request, *Plan, Sink);
+    return this->serveOrForward(Request, *Plan, Sink);
   }
 
-  /// Serves here, or passes on where only other data centres are allowed.
-  template <AnswerSink Sink>
-  absl::Status place(const CallerRequest &Request, const Plan &Way,
-                     Sink &Into) {
+  /// Serves the request here, or forwards it where no local target may serve it
+  /// but other data centres might.
+  template <ResponseSink SinkT>
+  absl::Status serveOrForward(const CallerRequest &Request,
+                              const RoutePlan &Plan, SinkT &Sink) {
     bool Here =
-        std::any_of(Way.View->Targets.begin(), Way.View->Targets.end(),
-                    [&](const RouteTarget &Row) {
-                      return Row.allows(Way.Wanted) && this->Places.serves(Row);
+        std::any_of(Plan.View->Targets.begin(), Plan.View->Targets.end(),
+                    [&](const RouteTarget &Target) {
+                      return Target.allows(Plan.Wanted) &&
+                             this->PlacementRules.serves(Target);
                     });
     if (!Here && !Request.Forwarded)
-      if (std::vector<DataCentreId> Where =
-              this->Places.elsewhere(Request, Way);
-          !Where.empty())
-        return this->passOn(Request, Where, Into);
+      if (std::vector<DataCentreId> DataCentres =
+              this->PlacementRules.otherDataCentres(Request, Plan);
+          !DataCentres.empty())
+        return this->forwardElsewhere(Request, DataCentres, Sink);
     if (!Here)
-      return refuse(Into, this->Places.whyNot(Way));
+      return refuse(Sink, this->PlacementRules.noTargetError(Plan));
     if (Request.Target.Kind == ObjectKind::Deployment)
-      return this->ForModels.serve(Request, Way, Into);
-    return this->ForServices.serve(Request, Way, Into);
+      return this->ModelRequests.serve(Request, Plan, Sink);
+    return this->ServiceRequests.serve(Request, Plan, Sink);
   }
 
-  template <AnswerSink Sink>
-  absl::Status passOn(const CallerRequest &Request,
-                      const std::vector<DataCentreId> &Where, Sink &Into) {
-    std::uint64_t Random = hashText(Request.Id.Text);
-    for (std::size_t I = 0; I < Where.size() * EntriesTried; ++I) {
-      const DataCentreId &Centre = Where[(Random + I) % Where.size()];
-      std::optional<Endpoint> Entry =
-          this->Places.entryIn(Centre, Random + I / Where.size());
-      if (!Entry)
+  /// Forwards the request to daemons of \p DataCentres in turn until one takes
+  /// it.
+  template <ResponseSink SinkT>
+  absl::Status forwardElsewhere(const CallerRequest &Request,
+                                const std::vector<DataCentreId> &DataCentres,
+                                SinkT &Sink) {
+    std::uint64_t Hash = hashText(Request.Id.Text);
+    for (std::size_t I = 0; I < DataCentres.size() * MaxDaemonsPerDataCentre;
+         ++I) {
+      const DataCentreId &DataCentre =
+          DataCentres[(Hash + I) % DataCentres.size()];
+      std::optional<Endpoint> Address = this->PlacementRules.pickDaemon(
+          DataCentre, Hash + I / DataCentres.size());
+      if (!Address)
         continue;
       this->Tables.Log.emit(EventCode::RequestForwarded, Request.Id.Text,
-                            Centre.Text);
-      switch (this->Others.pass(Request, *Entry, Into)) {
-      case ForwardEnd::Done:
+                            DataCentre.Text);
+      switch (this->PeerForwarder.forward(Request, *Address, Sink)) {
+      case ForwardOutcome::Done:
         return absl::OkStatus();
-      case ForwardEnd::CallerGone:
+      case ForwardOutcome::CallerGone:
         return makeError(ErrorKind::OutcomeUnknown, "the caller left");
-      case ForwardEnd::NotSent:
+      case ForwardOutcome::NotSent:
         continue;
-      case ForwardEnd::Unknown:
+      case ForwardOutcome::Unknown:
         if (Request.Repeatable)
           continue;
-        return refuse(Into,
+        return refuse(Sink,
                       makeError(ErrorKind::OutcomeUnknown,
                                 "the data centre it was passed to does not "
                                 "answer"));
       }
     }
-    return refuse(Into,
-                  makeError(ErrorKind::NoCapacity,
-                            "no allowed data centre answers", ComeBackSoon));
+    return refuse(Sink, makeError(ErrorKind::NoCapacity,
+                                  "no allowed data centre answers",
+                                  DefaultRetryAfter));
   }
 
-  // ---- Requests that run at most once. ----
+  // Requests that run at most once.
 
-  /// Finds who may dispatch the key: its minter, or the first whose claim is
-  /// in the log.
+  /// The daemon that may dispatch the key: its minter, or the one whose claim
+  /// is first in the log.
   absl::StatusOr<IncarnationId> dispatcherOf(const CallerRequest &Request,
                                              const KeyParts &Parts) {
     if (!Parts.Minter.empty())
@@ -167,7 +177,7 @@
     return this->Keys.bind(Id, Parts.Issued, Request.Deadline);
   }
 
-  /// A ticket counts for as long as its minter remembers what it dispatched.
+  /// Refuses tickets that are older than the minter's record of their use.
   absl::Status checkTicket(const KeyParts &Parts) const {
     auto Now = SystemClock{}.wall().Value;
     auto Window = static_cast<std::uint64_t>(KeyWindow.count());
@@ -176,117 +186,126 @@
     return absl::OkStatus();
   }
 
-  template <AnswerSink Sink>
-  absl::Status serveOnce(const CallerRequest &Request, const Plan &Way,
-                         Sink &Into) {
-    // 1. The key's form and age.
+  /// Serves a request with a key, here or at the key's dispatcher.
+  template <ResponseSink SinkT>
+  absl::Status serveOnce(const CallerRequest &Request, const RoutePlan &Plan,
+                         SinkT &Sink) {
+    // 1. Validate the key.
     absl::StatusOr<KeyParts> Parts = parseKey(Request.Key);
     if (!Parts.ok())
-      return refuse(Into, Parts.status());
+      return refuse(Sink, Parts.status());
     if (!Parts->Minter.empty())
       if (absl::Status Age = this->checkTicket(*Parts); !Age.ok())
-        return refuse(Into, Age);
-    // 2. Who dispatches it?
-    absl::StatusOr<IncarnationId> Holder = this->dispatcherOf(Request, *Parts);
-    if (!Holder.ok())
-      return this->refuseEarly(Request, Into, Holder.status());
-    if (*Holder != this->Tables.Self.Incarnation)
-      return this->passToHolder(Request, *Holder, Into);
-    // 3. This daemon: at most once, whoever asks how often.
-    return this->runOnce(Request, Way, *Parts, Into);
+        return refuse(Sink, Age);
+    // 2. Find its dispatcher.
+    absl::StatusOr<IncarnationId> DispatcherId =
+        this->dispatcherOf(Request, *Parts);
+    if (!DispatcherId.ok())
+      return this->refuseUnclaimed(Request, Sink, DispatcherId.status());
+    if (*DispatcherId != this->Tables.Self.Incarnation)
+      return this->forwardToDispatcher(Request, *DispatcherId, Sink);
+    // 3. Dispatch here.
+    return this->runOnce(Request, Plan, *Parts, Sink);
   }
 
-  template <AnswerSink Sink>
-  absl::Status passToHolder(const CallerRequest &Request,
-                            const IncarnationId &Holder, Sink &Into) {
+  /// Forwards the request to the dispatcher of its key, which is not this
+  /// daemon.
+  template <ResponseSink SinkT>
+  absl::Status forwardToDispatcher(const CallerRequest &Request,
+                                   const IncarnationId &DispatcherId,
+                                   SinkT &Sink) {
     auto Unknown = [&](const std::string &Why) {
-      return refuse(Into, makeError(ErrorKind::OutcomeUnknown, Why));
+      return refuse(Sink, makeError(ErrorKind::OutcomeUnknown, Why));
     };
     if (Request.Bound)
       return Unknown("the key's dispatcher is another one by now");
-    std::optional<Endpoint> Where = this->Tables.Peers.read(
+    std::optional<Endpoint> Address = this->Tables.Peers.read(
         [&](const PeerTable &Rows) -> std::optional<Endpoint> {
-          const Peer *Row = Rows.findIncarnation(Holder);
+          const Peer *Row = Rows.findIncarnation(DispatcherId);
           if (!Row || !Row->Known)
             return std::nullopt;
           return Endpoint{Row->Row.host, Row->Row.peer_port};
         });
-    if (!Where)
+    if (!Address)
       return Unknown("the daemon that holds this key is gone");
     CallerRequest Passed = Request;
     Passed.Bound = true;
-    switch (this->Others.pass(Passed, *Where, Into)) {
-    case ForwardEnd::Done:
+    switch (this->PeerForwarder.forward(Passed, *Address, Sink)) {
+    case ForwardOutcome::Done:
       return absl::OkStatus();
-    case ForwardEnd::CallerGone:
+    case ForwardOutcome::CallerGone:
       return makeError(ErrorKind::OutcomeUnknown, "the caller left");
-    case ForwardEnd::NotSent:
-    case ForwardEnd::Unknown:
+    case ForwardOutcome::NotSent:
+    case ForwardOutcome::Unknown:
       break;
     }
     return Unknown("the daemon that holds this key does not answer");
   }
 
-  template <AnswerSink Sink>
-  absl::Status runOnce(const CallerRequest &Request, const Plan &Way,
-                       const KeyParts &Parts, Sink &Into) {
+  /// Runs the request unless one with the same key has run or is running; then
+  /// sends the response of that one.
+  template <ResponseSink SinkT>
+  absl::Status runOnce(const CallerRequest &Request, const RoutePlan &Plan,
+                       const KeyParts &Parts, SinkT &Sink) {
     ClaimId Id{Request.Workspace, Request.Key};
-    std::uint64_t Print = fingerprintOf(Request);
-    // 1. First come: dispatch. Later ones: wait for what the first gets.
-    while (!this->Tables.Idempotency.write(
-        [&](OnceTable &Rows) { return Rows.begin(Id, Print, Parts.Issued); })) {
+    std::uint64_t Fingerprint = fingerprintOf(Request);
+    // 1. The first request with the key is dispatched; others wait for its
+    // response.
+    while (!this->Tables.Idempotency.write([&](OnceTable &Rows) {
+      return Rows.begin(Id, Fingerprint, Parts.Issued);
+    })) {
       OnceLook Look = this->Tables.Idempotency.read(
-          [&](const OnceTable &Rows) { return Rows.look(Id, Print); });
+          [&](const OnceTable &Rows) { return Rows.look(Id, Fingerprint); });
       if (Look.State == OnceState::Absent)
         continue;
       if (Look.Differs)
-        return refuse(Into, makeError(ErrorKind::KeyReused,
+        return refuse(Sink, makeError(ErrorKind::KeyReused,
                                       "this key belongs to another request"));
       if (Look.State == OnceState::Unknown)
-        return refuse(Into, makeError(ErrorKind::OutcomeUnknown,
+        return refuse(Sink, makeError(ErrorKind::OutcomeUnknown,
                                       "its outcome is not known"));
       if (Look.State == OnceState::Done) {
-        sendWhole(Into, Look.Answer->HttpStatus, Look.Answer->ContentType,
+        sendWhole(Sink, Look.Answer->HttpStatus, Look.Answer->ContentType,
                   Look.Answer->Body);
         return absl::OkStatus();
       }
       if (SystemClock{}.now() >= Request.Deadline)
-        return refuse(Into,
-                      makeError(ErrorKind::OutcomeUnknown,
-                                "it still runs under this key", ComeBackSoon));
-      std::this_thread::sleep_for(OncePoll);
+        return refuse(Sink, makeError(ErrorKind::OutcomeUnknown,
+                                      "it still runs under this key",
+                                      DefaultRetryAfter));
+      std::this_thread::sleep_for(KeyPollInterval);
     }
-    // 2. Run, keeping the whole answer, and then hand it out.
-    MemorySink Kept;
+    // 2. Run with a buffered response, store it, then send it.
+    MemorySink Buffered;
     CallerRequest Run = Request;
     Run.Stream = false;
-    absl::Status Result = this->place(Run, Way, Kept);
+    absl::Status Result = this->serveOrForward(Run, Plan, Buffered);
     this->Tables.Idempotency.write([&](OnceTable &Rows) {
-      if (Kept.ran() == Ran::No)
+      if (Buffered.ran() == Ran::No)
         Rows.abandon(Id);
-      else if (Kept.ran() == Ran::Yes)
-        Rows.finish(Id, Kept.Answer);
+      else if (Buffered.ran() == Ran::Yes)
+        Rows.finish(Id, Buffered.Answer);
       else
         Rows.finishUnknown(Id);
     });
-    if (!Kept.Whole)
-      return refuse(Into,
+    if (!Buffered.Whole)
+      return refuse(Sink,
                     makeError(ErrorKind::OutcomeUnknown, "the answer was cut"));
-    if (Kept.Error)
-      Into.note(*Kept.Error);
-    sendWhole(Into, Kept.Answer.HttpStatus, Kept.Answer.ContentType,
-              Kept.Answer.Body, Kept.RetryAfter);
+    if (Buffered.Error)
+      Sink.setRan(*Buffered.Error);
+    sendWhole(Sink, Buffered.Answer.HttpStatus, Buffered.Answer.ContentType,
+              Buffered.Answer.Body, Buffered.RetryAfter);
     return Result;
   }
 
   Board &Tables;
   Binder &Keys;
-  Forwarder &Others;
-  Placement Places;
-  Admission Doors;
-  Attempts Tries;
-  ModelServer<Engine> ForModels;
-  PlainServer<Plain> ForServices;
+  Forwarder &PeerForwarder;
+  Placement PlacementRules;
+  Admission AdmissionControl;
+  Attempts TargetAttempts;
+  ModelServer<Engine> ModelRequests;
+  PlainServer<Plain> ServiceRequests;
   std::atomic<std::uint64_t> NextTicket{1};
 };
 
--- a/src/edge/serve_model.h
+++ b/src/edge/serve_model.h
@@ -12,83 +12,86 @@
 
 namespace waycove {
 
-/// A stream looks this often whether its group still serves.
-constexpr Millis LookEvery(100);
+/// Interval at which a stream checks that its group is not broken.
+constexpr Millis GroupCheckInterval(100);
 
-/// What the caller has of a model's answer so far.
-struct Progress {
+/// The part of a model's response received so far.
+struct ResponseProgress {
   std::string Text;
   std::uint64_t Count = 0;
   bool HeadSent = false;
   unsigned Resumes = 0;
   TimePoint Began;
   TimePoint LastToken;
-  TimePoint LastLook;
+  TimePoint LastGroupCheck;
 };
 
-/// Model requests: one answer out of as many attempts as it takes, each going
-/// on from the token where the last one broke. Thread-safe.
+/// Serves model requests. A broken attempt is resumed on another target
+/// from the next missing token. Thread-safe.
 template <EngineService Engine> class ModelServer {
 public:
-  ModelServer(Board &Tables, Engine &Models, Admission &Doors, Attempts &Tries)
-      : Tables(Tables), Models(Models), Doors(Doors), Tries(Tries) {}
+  ModelServer(Board &Tables, Engine &Models, Admission &AdmissionControl,
+              Attempts &TargetAttempts)
+      : Tables(Tables), Models(Models), AdmissionControl(AdmissionControl),
+        TargetAttempts(TargetAttempts) {}
 
-  template <AnswerSink Sink>
-  absl::Status serve(const CallerRequest &Request, const Plan &Way,
-                     Sink &Into) {
-    Progress Have;
-    Have.Began = SystemClock{}.now();
-    // 1. Wait for a turn.
-    std::shared_ptr<Gate> Door;
-    absl::StatusOr<TicketId> Ticket = this->Doors.enter(Request, Way, Door);
+  template <ResponseSink SinkT>
+  absl::Status serve(const CallerRequest &Request, const RoutePlan &Plan,
+                     SinkT &Sink) {
+    ResponseProgress Progress;
+    Progress.Began = SystemClock{}.now();
+    // 1. Wait for admission.
+    std::shared_ptr<AdmissionGate> SlotGate;
+    absl::StatusOr<TicketId> Ticket =
+        this->AdmissionControl.enter(Request, Plan, SlotGate);
     if (!Ticket.ok())
-      return refuse(Into, Ticket.status());
-    GatePass Pass(Door, *Ticket);
+      return refuse(Sink, Ticket.status());
+    AdmissionPermit Permit(SlotGate, *Ticket);
     this->Tables.Counters.observe(Timer::QueueWait,
-                                  SystemClock{}.now() - Have.Began);
-    // 2. Attempts, each going on from where the last one broke.
+                                  SystemClock{}.now() - Progress.Began);
+    // 2. Attempt until done, each time resuming after the last token.
     std::uint64_t Affinity =
         affinityOf(Request.Workspace.Text, Request.Session, Request.Prompt);
-    Course Run;
-    this->Tries.noteFirst();
+    AttemptHistory History;
+    this->TargetAttempts.recordFirstAttempt();
     while (true) {
       const RouteTarget *Target =
-          this->Tries.choose(Way, Request, Run, Affinity);
+          this->TargetAttempts.choose(Plan, Request, History, Affinity);
       AttemptEnd End = AttemptEnd::NotSent;
       if (Target)
-        End = this->attempt(Request, Way, *Target, Run, Have, Into);
+        End = this->attempt(Request, Plan, *Target, History, Progress, Sink);
       else
-        Run.Reason = "no other target is serving";
-      Pass.Spent = Tokens(std::max<std::uint64_t>(Have.Count, 1));
-      RetryDecision Next = this->Tries.decide(Request, Run, End);
+        History.Reason = "no other target is serving";
+      Permit.Spent = Tokens(std::max<std::uint64_t>(Progress.Count, 1));
+      RetryDecision Next = this->TargetAttempts.decide(Request, History, End);
       if (Next.Choice == RetryChoice::Finish)
-        return this->finishModel(Request, Have, Into);
+        return this->finishModel(Request, Progress, Sink);
       if (Next.Choice == RetryChoice::GiveUp || !Target)
-        return this->giveUpModel(makeError(Next.Kind, Run.Reason, ComeBackSoon),
-                                 Have, Into);
-      bool Resumed = Have.Count > 0;
-      Have.Resumes += Resumed ? 1 : 0;
-      this->Tries.noteAgain(Request, *Target, Resumed, Run);
+        return this->failModel(
+            makeError(Next.Kind, History.Reason, DefaultRetryAfter), Progress,
+            Sink);
+      bool Resumed = Progress.Count > 0;
+      Progress.Resumes += Resumed ? 1 : 0;
+      this->TargetAttempts.recordRetry(Request, *Target, Resumed, History);
     }
   }
 
 private:
-  /// One attempt at one group. Tokens are passed on only if they are the next
-  /// ones, of this group under this fence, made by all of its members.
-  template <AnswerSink Sink>
-  AttemptEnd attempt(const CallerRequest &Request, const Plan &Way,
-                     const RouteTarget &Target, Course &Run, Progress &Have,
-                     Sink &Into) {
-    ++Run.Attempts;
+  /// Runs one attempt at one group and records its outcome.
+  template <ResponseSink SinkT>
+  AttemptEnd attempt(const CallerRequest &Request, const RoutePlan &Plan,
+                     const RouteTarget &Target, AttemptHistory &History,
+                     ResponseProgress &Progress, SinkT &Sink) {
+    ++History.Attempts;
     this->Tables.Counters.add(Counter::Attempts);
     EngineCall Call{
         Target.Address,
-        RequestId(Request.Id.Text + "." + std::to_string(Run.Attempts)),
+        RequestId(Request.Id.Text + "." + std::to_string(History.Attempts)),
         Target.Group,
         Request.Prompt,
         Request.MaxTokens,
-        Have.Count,
-        Have.Text,
+        Progress.Count,
+        Progress.Text,
         Request.Priority,
         this->Tables.Config.TokenStallTimeout,
         Request.Deadline};
@@ -96,22 +99,23 @@
     AttemptEnd End = this->Models.generate(
         Call,
         [&](const EngineToken &Token) {
-          return this->takeToken(Request, Way, Target, Token, Have, Into);
+          return this->handleToken(Request, Plan, Target, Token, Progress,
+                                   Sink);
         },
         Done);
-    if (End == AttemptEnd::Done && Done.Tokens != Have.Count) {
+    if (End == AttemptEnd::Done && Done.Tokens != Progress.Count) {
       End = AttemptEnd::Broken;
       Done.Reason = "tokens are missing";
     }
-    Run.Reason = Done.Reason.empty() ? "the target broke off" : Done.Reason;
+    History.Reason = Done.Reason.empty() ? "the target broke off" : Done.Reason;
     if (Done.Leaving)
-      this->Tries.recordLeaving(Target);
+      this->TargetAttempts.recordLeaving(Target);
     if (End == AttemptEnd::Done)
       this->Tables.Load.write([&](LoadTable &Load) {
         Load.onReport(Target.Key, Done.Queue, SystemClock{}.now());
       });
-    this->Tries.noteEnd(Target, End, Way.View->Targets.size());
-    // An engine that still works on what nobody waits for is told to stop.
+    this->TargetAttempts.recordOutcome(Target, End, Plan.View->Targets.size());
+    // The engine may still be generating: cancel the request.
     if (End != AttemptEnd::Done && End != AttemptEnd::NotSent &&
         End != AttemptEnd::Refused)
       this->Cancels.post([this, At = Target.Address, Id = Call.Request] {
@@ -120,90 +124,94 @@
     return End;
   }
 
-  template <AnswerSink Sink>
-  TokenVerdict takeToken(const CallerRequest &Request, const Plan &Way,
-                         const RouteTarget &Target, const EngineToken &Token,
-                         Progress &Have, Sink &Into) {
-    // 1. Is it of this group, whole?
-    if (Token.Group != Target.Group || Token.Members != Way.View->VmsPerReplica)
-      return TokenVerdict::Distrust;
+  /// Sends a token to the caller if it is the next one and comes from this
+  /// group, under this fence, with all of its members.
+  template <ResponseSink SinkT>
+  TokenVerdict handleToken(const CallerRequest &Request, const RoutePlan &Plan,
+                           const RouteTarget &Target, const EngineToken &Token,
+                           ResponseProgress &Progress, SinkT &Sink) {
+    // 1. Check the group and that all members took part.
+    if (Token.Group != Target.Group ||
+        Token.Members != Plan.View->VmsPerReplica)
+      return TokenVerdict::Reject;
     TimePoint Now = SystemClock{}.now();
-    if (Now - Have.LastLook > LookEvery) {
-      Have.LastLook = Now;
+    if (Now - Progress.LastGroupCheck > GroupCheckInterval) {
+      Progress.LastGroupCheck = Now;
       if (this->Tables.isGroupBroken(Target.Group))
-        return TokenVerdict::Distrust;
+        return TokenVerdict::Reject;
     }
-    // 2. Is it the next one?
-    if (Token.Index < Have.Count)
+    // 2. Skip duplicates, reject gaps.
+    if (Token.Index < Progress.Count)
       return TokenVerdict::Ignore;
-    if (Token.Index > Have.Count)
-      return TokenVerdict::Distrust;
-    this->noteTokenTime(Have, Now);
-    Have.Text += Token.Text;
-    ++Have.Count;
-    // 3. On to the caller.
+    if (Token.Index > Progress.Count)
+      return TokenVerdict::Reject;
+    this->recordTokenLatency(Progress, Now);
+    Progress.Text += Token.Text;
+    ++Progress.Count;
+    // 3. Send it to the caller.
     if (!Request.Stream)
-      return TokenVerdict::Go;
+      return TokenVerdict::Accept;
     bool Sent = true;
-    if (!Have.HeadSent)
-      Sent = Into.head(200, "text/event-stream", Millis(0), std::nullopt);
-    Have.HeadSent = true;
-    Poco::JSON::Object Row;
-    Row.set("index", Token.Index);
-    Row.set("text", Token.Text);
-    Sent = Sent && Into.data("data: " + dumpJson(Row) + "\n\n");
-    return Sent ? TokenVerdict::Go : TokenVerdict::CallerGone;
+    if (!Progress.HeadSent)
+      Sent = Sink.head(200, "text/event-stream", Millis(0), std::nullopt);
+    Progress.HeadSent = true;
+    Poco::JSON::Object Fields;
+    Fields.set("index", Token.Index);
+    Fields.set("text", Token.Text);
+    Sent = Sent && Sink.data("data: " + dumpJson(Fields) + "\n\n");
+    return Sent ? TokenVerdict::Accept : TokenVerdict::CallerGone;
   }
 
-  void noteTokenTime(Progress &Have, TimePoint Now) {
-    if (Have.Count == 0)
-      this->Tables.Counters.observe(Timer::FirstToken, Now - Have.Began);
+  void recordTokenLatency(ResponseProgress &Progress, TimePoint Now) {
+    if (Progress.Count == 0)
+      this->Tables.Counters.observe(Timer::FirstToken, Now - Progress.Began);
     else
-      this->Tables.Counters.observe(Timer::BetweenTokens, Now - Have.LastToken);
-    Have.LastToken = Now;
+      this->Tables.Counters.observe(Timer::BetweenTokens,
+                                    Now - Progress.LastToken);
+    Progress.LastToken = Now;
     this->Tables.Counters.add(Counter::TokensOut);
   }
 
-  template <AnswerSink Sink>
-  absl::Status finishModel(const CallerRequest &Request, const Progress &Have,
-                           Sink &Into) {
-    Poco::JSON::Object Row;
-    Row.set("request", Request.Id.Text);
-    Row.set("tokens", Have.Count);
-    Row.set("resumes", Have.Resumes);
+  template <ResponseSink SinkT>
+  absl::Status finishModel(const CallerRequest &Request,
+                           const ResponseProgress &Progress, SinkT &Sink) {
+    Poco::JSON::Object Fields;
+    Fields.set("request", Request.Id.Text);
+    Fields.set("tokens", Progress.Count);
+    Fields.set("resumes", Progress.Resumes);
     bool Sent = false;
     if (Request.Stream) {
-      Sent = Have.HeadSent ||
-             Into.head(200, "text/event-stream", Millis(0), std::nullopt);
+      Sent = Progress.HeadSent ||
+             Sink.head(200, "text/event-stream", Millis(0), std::nullopt);
       Sent = Sent &&
-             Into.data("event: done\ndata: " + dumpJson(Row) + "\n\n") &&
-             Into.end();
+             Sink.data("event: done\ndata: " + dumpJson(Fields) + "\n\n") &&
+             Sink.end();
     } else {
-      Row.set("text", Have.Text);
-      Sent = sendWhole(Into, 200, "application/json", dumpJson(Row));
+      Fields.set("text", Progress.Text);
+      Sent = sendWhole(Sink, 200, "application/json", dumpJson(Fields));
     }
     if (Sent)
       return absl::OkStatus();
     return makeError(ErrorKind::OutcomeUnknown, "the caller left");
   }
 
-  /// The honest end of an answer that cannot be made whole: an error where
-  /// nothing went out yet, else an error event and a visible cut.
-  template <AnswerSink Sink>
-  absl::Status giveUpModel(const absl::Status &Status, const Progress &Have,
-                           Sink &Into) {
-    if (!Have.HeadSent)
-      return refuse(Into, Status);
+  /// Ends a response that cannot be completed: with an error response where
+  /// nothing was sent yet, else with an error event and a cut.
+  template <ResponseSink SinkT>
+  absl::Status failModel(const absl::Status &Status,
+                         const ResponseProgress &Progress, SinkT &Sink) {
+    if (!Progress.HeadSent)
+      return refuse(Sink, Status);
     this->Tables.Counters.add(Counter::RequestsCut);
-    Into.data("event: error\ndata: " + errorJson(Status) + "\n\n");
-    Into.cut();
+    Sink.data("event: error\ndata: " + errorJson(Status) + "\n\n");
+    Sink.cut();
     return Status;
   }
 
   Board &Tables;
   Engine &Models;
-  Admission &Doors;
-  Attempts &Tries;
+  Admission &AdmissionControl;
+  Attempts &TargetAttempts;
   WorkerPool Cancels{2};
 };
 
--- a/src/edge/serve_plain.h
+++ b/src/edge/serve_plain.h
@@ -10,51 +10,58 @@
 
 namespace waycove {
 
-/// Calls of plain services, passed through whole. Thread-safe.
+/// Serves requests to plain services, whose responses are sent whole.
+/// Thread-safe.
 template <PlainService Plain> class PlainServer {
 public:
-  PlainServer(Board &Tables, Plain &Services, Admission &Doors, Attempts &Tries)
-      : Tables(Tables), Services(Services), Doors(Doors), Tries(Tries) {}
+  PlainServer(Board &Tables, Plain &Services, Admission &AdmissionControl,
+              Attempts &TargetAttempts)
+      : Tables(Tables), Services(Services), AdmissionControl(AdmissionControl),
+        TargetAttempts(TargetAttempts) {}
 
-  template <AnswerSink Sink>
-  absl::Status serve(const CallerRequest &Request, const Plan &Way,
-                     Sink &Into) {
-    std::shared_ptr<Gate> Door;
-    absl::StatusOr<TicketId> Ticket = this->Doors.enter(Request, Way, Door);
+  template <ResponseSink SinkT>
+  absl::Status serve(const CallerRequest &Request, const RoutePlan &Plan,
+                     SinkT &Sink) {
+    std::shared_ptr<AdmissionGate> SlotGate;
+    absl::StatusOr<TicketId> Ticket =
+        this->AdmissionControl.enter(Request, Plan, SlotGate);
     if (!Ticket.ok())
-      return refuse(Into, Ticket.status());
-    GatePass Pass(Door, *Ticket);
-    Course Run;
-    this->Tries.noteFirst();
+      return refuse(Sink, Ticket.status());
+    AdmissionPermit Permit(SlotGate, *Ticket);
+    AttemptHistory History;
+    this->TargetAttempts.recordFirstAttempt();
     while (true) {
-      const RouteTarget *Target = this->Tries.choose(Way, Request, Run, 0);
+      const RouteTarget *Target =
+          this->TargetAttempts.choose(Plan, Request, History, 0);
       HttpReply Reply;
       AttemptEnd End = AttemptEnd::NotSent;
       if (Target)
-        End = this->callOnce(Request, Way, *Target, Run, Reply);
+        End = this->callOnce(Request, Plan, *Target, History, Reply);
       else
-        Run.Reason = "no other target is serving";
-      RetryDecision Next = this->Tries.decide(Request, Run, End);
+        History.Reason = "no other target is serving";
+      RetryDecision Next = this->TargetAttempts.decide(Request, History, End);
       if (Next.Choice == RetryChoice::Finish) {
-        sendWhole(Into, Reply.Status, Reply.ContentType, Reply.Body);
+        sendWhole(Sink, Reply.Status, Reply.ContentType, Reply.Body);
         return absl::OkStatus();
       }
       if (Next.Choice == RetryChoice::GiveUp || !Target)
-        return refuse(Into, makeError(Next.Kind, Run.Reason, ComeBackSoon));
-      this->Tries.noteAgain(Request, *Target, false, Run);
+        return refuse(Sink,
+                      makeError(Next.Kind, History.Reason, DefaultRetryAfter));
+      this->TargetAttempts.recordRetry(Request, *Target, false, History);
     }
   }
 
 private:
-  AttemptEnd callOnce(const CallerRequest &Request, const Plan &Way,
-                      const RouteTarget &Target, Course &Run,
+  /// Runs one attempt at one target and records its outcome.
+  AttemptEnd callOnce(const CallerRequest &Request, const RoutePlan &Plan,
+                      const RouteTarget &Target, AttemptHistory &History,
                       HttpReply &Reply) {
-    ++Run.Attempts;
+    ++History.Attempts;
     this->Tables.Counters.add(Counter::Attempts);
     PlainCall Call;
     Call.Address = Target.Address;
     Call.Request =
-        RequestId(Request.Id.Text + "." + std::to_string(Run.Attempts));
+        RequestId(Request.Id.Text + "." + std::to_string(History.Attempts));
     Call.Http = {
         Request.Method, Request.Path, Request.Body, Request.ContentType, {}};
     Call.Http.Headers.push_back(
@@ -65,17 +72,17 @@
         std::max(Millis(1), std::chrono::duration_cast<Millis>(
                                 Request.Deadline - SystemClock{}.now()));
     AttemptEnd End = this->Services.call(Call, Reply);
-    Run.Reason = "the target broke off or did not answer";
+    History.Reason = "the target broke off or did not answer";
     if (Reply.Leaving)
-      this->Tries.recordLeaving(Target);
-    this->Tries.noteEnd(Target, End, Way.View->Targets.size());
+      this->TargetAttempts.recordLeaving(Target);
+    this->TargetAttempts.recordOutcome(Target, End, Plan.View->Targets.size());
     return End;
   }
 
   Board &Tables;
   Plain &Services;
-  Admission &Doors;
-  Attempts &Tries;
+  Admission &AdmissionControl;
+  Attempts &TargetAttempts;
 };
 
 } // namespace waycove
--- a/src/edge/target.cpp
+++ b/src/edge/target.cpp
@@ -18,16 +18,16 @@
 constexpr Millis ReportTimeout(400);
 constexpr Millis CancelTimeout(500);
 constexpr std::size_t MaxLineBytes = 64 << 10;
-/// Lines of another request on this connection before it is given up.
-constexpr unsigned MaxStrays = 1000;
-constexpr std::size_t MaxCallers = 20000;
+/// Max lines of other requests before the attempt fails.
+constexpr unsigned MaxForeignLines = 1000;
+constexpr std::size_t MaxClients = 20000;
 constexpr ByteCounters HealthBytes{Counter::HealthBytesIn,
                                    Counter::HealthBytesOut};
 constexpr ByteCounters TargetBytes{Counter::TargetBytesIn,
                                    Counter::TargetBytesOut};
 
-/// Reads one line of bounded length; false at the end of the stream or where
-/// the line is cut or too long.
+/// Reads one line. Returns false where the stream ends before a newline or the
+/// line exceeds MaxLineBytes.
 bool readLine(std::istream &In, std::string &Line) {
   Line.clear();
   for (int C = In.get(); C != std::char_traits<char>::eof(); C = In.get()) {
@@ -52,36 +52,38 @@
   return dumpJson(Body);
 }
 
-/// Handles the lines of one answer until its last.
-AttemptEnd readAnswer(std::istream &In, const EngineCall &Call,
-                      const TokenHandler &OnToken, EngineDone &Done) {
+/// Reads a response line by line, calling \p OnToken for each token, until its
+/// last line, a failure or the deadline.
+AttemptEnd readResponse(std::istream &In, const EngineCall &Call,
+                        const TokenHandler &OnToken, EngineDone &Done) {
   std::string Line;
-  unsigned Strays = 0;
+  unsigned ForeignLines = 0;
   while (readLine(In, Line)) {
-    absl::StatusOr<JsonObject> Row = parseJson(Line);
-    if (!Row.ok())
+    absl::StatusOr<JsonObject> Fields = parseJson(Line);
+    if (!Fields.ok())
       return AttemptEnd::Broken;
-    // A late line of another request is not ours to pass on.
-    if (textAt(*Row, "request") != Call.Request.Text) {
-      if (++Strays > MaxStrays)
+    // Skip late lines of other requests.
+    if (textAt(*Fields, "request") != Call.Request.Text) {
+      if (++ForeignLines > MaxForeignLines)
         return AttemptEnd::Broken;
       continue;
     }
-    if (flagAt(*Row, "done", false)) {
-      Done.Tokens = numberAt(*Row, "tokens");
-      Done.Queue = static_cast<double>(numberAt(*Row, "queue"));
+    if (flagAt(*Fields, "done", false)) {
+      Done.Tokens = numberAt(*Fields, "tokens");
+      Done.Queue = static_cast<double>(numberAt(*Fields, "queue"));
       return AttemptEnd::Done;
     }
-    EngineToken Token{Call.Request, numberAt(*Row, "index", UINT64_MAX),
-                      textAt(*Row, "text"), Fence(numberAt(*Row, "group")),
-                      numberAt(*Row, "members")};
+    EngineToken Token{Call.Request, numberAt(*Fields, "index", UINT64_MAX),
+                      textAt(*Fields, "text"),
+                      Fence(numberAt(*Fields, "group")),
+                      numberAt(*Fields, "members")};
     switch (OnToken(Token)) {
-    case TokenVerdict::Go:
+    case TokenVerdict::Accept:
     case TokenVerdict::Ignore:
       break;
     case TokenVerdict::CallerGone:
       return AttemptEnd::CallerGone;
-    case TokenVerdict::Distrust:
+    case TokenVerdict::Reject:
       Done.Reason = "the answer is not of this group, whole and in order";
       return AttemptEnd::Broken;
     }
@@ -98,9 +100,9 @@
   bool Sent = false;
   try {
     WholeBodySession Session(Call.Address.Host, Call.Address.Port);
-    auto Left =
+    auto Remaining =
         std::chrono::duration_cast<Millis>(Call.Deadline - BootClock::now());
-    Millis Stall = std::clamp(Left, Millis(1), Call.Stall);
+    Millis Stall = std::clamp(Remaining, Millis(1), Call.Stall);
     Session.setTimeout(timespanOf(this->Config.ConnectTimeout),
                        timespanOf(Stall), timespanOf(Stall));
     std::string Body = generateBody(Call);
@@ -122,8 +124,8 @@
                  ? AttemptEnd::Refused
                  : AttemptEnd::Broken;
     }
-    AttemptEnd End = readAnswer(In, Call, OnToken, Done);
-    // The stream only ends; why it did, the session knows.
+    AttemptEnd End = readResponse(In, Call, OnToken, Done);
+    // The stream reports only its end; the session has the cause.
     bool TimedOut = dynamic_cast<const Poco::TimeoutException *>(
                         Session.networkException()) != nullptr;
     if (End != AttemptEnd::Broken || !TimedOut)
@@ -141,25 +143,25 @@
 
 void HttpEngine::cancel(const VmAddress &At, const RequestId &Request) {
   Metrics Unused;
-  HttpClient Caller({At.Host, At.Port}, this->Config.ConnectTimeout, Unused,
+  HttpClient Client({At.Host, At.Port}, this->Config.ConnectTimeout, Unused,
                     TargetBytes);
   Poco::JSON::Object Body;
   Body.set("request", Request.Text);
   HttpCall Call{"POST", "/v1/cancel", dumpJson(Body), "", {}};
-  // An engine that misses this only wastes work of its own.
-  Caller.call(Call, CancelTimeout).status().IgnoreError();
+  // Best effort: a lost cancel only wastes the engine's work.
+  Client.call(Call, CancelTimeout).status().IgnoreError();
 }
 
-std::shared_ptr<HttpClient> HttpEngineControl::callerFor(const VmAddress &At) {
+std::shared_ptr<HttpClient> HttpEngineControl::clientFor(const VmAddress &At) {
   std::lock_guard Lock(this->Mutex);
-  if (this->Callers.size() > MaxCallers)
-    this->Callers.clear();
-  auto &Row = this->Callers[At.text()];
-  if (!Row)
-    Row = std::make_shared<HttpClient>(Endpoint{At.Host, At.Port},
-                                       this->Config.ConnectTimeout,
-                                       this->Counters, HealthBytes);
-  return Row;
+  if (this->Clients.size() > MaxClients)
+    this->Clients.clear();
+  auto &Client = this->Clients[At.text()];
+  if (!Client)
+    Client = std::make_shared<HttpClient>(Endpoint{At.Host, At.Port},
+                                          this->Config.ConnectTimeout,
+                                          this->Counters, HealthBytes);
+  return Client;
 }
 
 absl::Status HttpEngineControl::order(const EngineOrder &Order) {
@@ -170,12 +172,12 @@
   Body.set("version", Order.Version);
   Body.set("rank", Order.Rank);
   Poco::JSON::Array Members;
-  for (const std::string &Row : Order.Members)
-    Members.add(Row);
+  for (const std::string &Member : Order.Members)
+    Members.add(Member);
   Body.set("members", Members);
   HttpCall Call{"POST", "/v1/order", dumpJson(Body), "", {}};
   absl::StatusOr<HttpReply> Reply =
-      this->callerFor(Order.Address)->call(Call, OrderTimeout);
+      this->clientFor(Order.Address)->call(Call, OrderTimeout);
   if (!Reply.ok())
     return Reply.status();
   if (Reply->Status != 200)
@@ -187,7 +189,7 @@
 absl::StatusOr<MemberReport> HttpEngineControl::report(const VmAddress &At) {
   HttpCall Call{"GET", "/v1/state", "", "", {}};
   absl::StatusOr<HttpReply> Reply =
-      this->callerFor(At)->call(Call, ReportTimeout);
+      this->clientFor(At)->call(Call, ReportTimeout);
   if (!Reply.ok())
     return Reply.status();
   absl::StatusOr<JsonObject> Body = parseJson(Reply->Body);
@@ -202,20 +204,20 @@
   return Report;
 }
 
-AttemptEnd HttpPlain::call(const PlainCall &Call, HttpReply &Reply) {
-  HttpClient Caller({Call.Address.Host, Call.Address.Port},
+AttemptEnd HttpPlainService::call(const PlainCall &Call, HttpReply &Reply) {
+  HttpClient Client({Call.Address.Host, Call.Address.Port},
                     this->Config.ConnectTimeout, this->Counters, TargetBytes);
   HttpCall Http = Call.Http;
   Http.Headers.push_back({"X-Request-Id", Call.Request.Text});
-  absl::StatusOr<HttpReply> Answer = Caller.call(Http, Call.Timeout);
-  if (!Answer.ok())
-    return kindOf(Answer.status()) == ErrorKind::NoCapacity
+  absl::StatusOr<HttpReply> Received = Client.call(Http, Call.Timeout);
+  if (!Received.ok())
+    return kindOf(Received.status()) == ErrorKind::NoCapacity
                ? AttemptEnd::NotSent
                : AttemptEnd::Broken;
-  Reply = *Answer;
+  Reply = *Received;
   if (Reply.NotRun)
     return AttemptEnd::Refused;
-  // An answer to another request must not reach this caller.
+  // Discard a response to another request.
   if (!Reply.RequestId.empty() && Reply.RequestId != Call.Request.Text)
     return AttemptEnd::Broken;
   return AttemptEnd::Done;
--- a/src/edge/target.h
+++ b/src/edge/target.h
@@ -14,33 +14,33 @@
 
 namespace waycove {
 
-/// One attempt at a model engine.
+/// Parameters of one attempt at a model engine.
 struct EngineCall {
   VmAddress Address;
   RequestId Request;
   Fence Group;
   std::string Prompt;
   std::uint64_t MaxTokens = 0;
-  /// Tokens that the caller has already, and their text.
+  /// Number of tokens that the caller already has; Prefix is their text.
   std::uint64_t ResumeFrom = 0;
   std::string Prefix;
   unsigned Priority = 0;
-  /// Longest time without a token.
+  /// Max interval between tokens.
   Millis Stall{2000};
   TimePoint Deadline;
 };
 
-/// One token, with what the engine says of who made it.
+/// One token, with the request and group that the engine reports for it.
 struct EngineToken {
   RequestId Request;
   std::uint64_t Index = 0;
   std::string Text;
   Fence Group;
-  /// VMs of the group that took part.
+  /// Number of the group's VMs that took part.
   std::uint64_t Members = 0;
 };
 
-/// The end of an engine's answer.
+/// Final line of an engine's response, or the reason for its failure.
 struct EngineDone {
   std::uint64_t Tokens = 0;
   double Queue = 0;
@@ -48,12 +48,13 @@
   std::string Reason;
 };
 
-/// What a token's receiver wants next.
-enum class TokenVerdict { Go, Ignore, CallerGone, Distrust };
+/// The receiver's decision on a token. Ignore skips a duplicate; Reject ends
+/// the attempt as broken.
+enum class TokenVerdict { Accept, Ignore, CallerGone, Reject };
 
 using TokenHandler = std::function<TokenVerdict(const EngineToken &)>;
 
-/// A model engine, as the router uses it.
+/// Model engines as used by ModelServer.
 template <typename T>
 concept EngineService = requires(T &E, const EngineCall &Call,
                                  const TokenHandler &OnToken, EngineDone &Done,
@@ -62,13 +63,15 @@
   E.cancel(At, Id);
 };
 
-/// Engines over HTTP:
+/// Accesses engines over HTTP:
 ///   POST /v1/generate {"request", "group", "prompt", "max_tokens",
-///        "resume_from", "prefix", "priority"}; answer: a line of JSON a token
-///        {"request", "index", "text", "group", "members"}, and a last one
+///        "resume_from", "prefix", "priority"}; response: a line of JSON per
+///        token {"request", "index", "text", "group", "members"}, and a last
+///        line
 ///        {"request", "done": true, "tokens", "queue"}
 ///   POST /v1/cancel {"request"}
-/// 503 with X-Waycove-Not-Run: yes says that the request was not taken.
+/// X-Waycove-Not-Run: yes in an error response means that the request did not
+/// run.
 class HttpEngine {
 public:
   explicit HttpEngine(const Settings &Config) : Config(Config) {}
@@ -80,8 +83,8 @@
   const Settings &Config;
 };
 
-/// Orders and reports over HTTP: POST /v1/order, GET /v1/state. Keeps one
-/// connection a VM. Thread-safe.
+/// Sends orders and reads member reports over HTTP: POST /v1/order,
+/// GET /v1/state. Keeps one connection per VM. Thread-safe.
 class HttpEngineControl {
 public:
   HttpEngineControl(const Settings &Config, Metrics &Counters)
@@ -90,15 +93,15 @@
   absl::StatusOr<MemberReport> report(const VmAddress &At);
 
 private:
-  std::shared_ptr<HttpClient> callerFor(const VmAddress &At);
+  std::shared_ptr<HttpClient> clientFor(const VmAddress &At);
 
   const Settings &Config;
   Metrics &Counters;
   std::mutex Mutex;
-  std::unordered_map<std::string, std::shared_ptr<HttpClient>> Callers;
+  std::unordered_map<std::string, std::shared_ptr<HttpClient>> Clients;
 };
 
-/// One call to a plain service.
+/// Parameters of one attempt at a plain service.
 struct PlainCall {
   VmAddress Address;
   RequestId Request;
@@ -106,16 +109,17 @@
   Millis Timeout{30000};
 };
 
+/// Plain services as used by PlainServer.
 template <typename T>
 concept PlainService = requires(T &S, const PlainCall &Call, HttpReply &Reply) {
   { S.call(Call, Reply) } -> std::same_as<AttemptEnd>;
 };
 
-/// Plain services over HTTP, one new connection a call, so that no answer can
-/// be taken for another call's.
-class HttpPlain {
+/// Calls plain services over HTTP. Each call uses a new connection, so that
+/// responses cannot be mixed up.
+class HttpPlainService {
 public:
-  HttpPlain(const Settings &Config, Metrics &Counters)
+  HttpPlainService(const Settings &Config, Metrics &Counters)
       : Config(Config), Counters(Counters) {}
   AttemptEnd call(const PlainCall &Call, HttpReply &Reply);
 
@@ -126,6 +130,6 @@
 
 static_assert(EngineService<HttpEngine>);
 static_assert(EngineControl<HttpEngineControl>);
-static_assert(PlainService<HttpPlain>);
+static_assert(PlainService<HttpPlainService>);
 
 } // namespace waycove
--- a/tests/contract/target_contract.cpp
+++ b/tests/contract/target_contract.cpp
@@ -95,7 +95,7 @@
           CHECK(Token.Group == Fence(5));
           CHECK(Token.Members == 1);
           CHECK(Token.Index == Seen++);
-          return TokenVerdict::Go;
+          return TokenVerdict::Accept;
         },
         Done);
     CHECK(End == Row.End);
@@ -112,7 +112,7 @@
   std::uint64_t First = 99;
   auto Note = [&](const EngineToken &Token) {
     First = std::min(First, Token.Index);
-    return TokenVerdict::Go;
+    return TokenVerdict::Accept;
   };
   CHECK(Engine.generate(Rest, Note, Done) == AttemptEnd::Done);
   CHECK(First == 6);
@@ -127,7 +127,7 @@
 
 TEST_CASE_METHOD(TargetFixture, "service call: each fault: its end",
                  "[contract]") {
-  HttpPlain Plain(this->Config, this->Counters);
+  HttpPlainService Plain(this->Config, this->Counters);
   for (const ServiceCase &Row :
        {ServiceCase{R"({"service":"ok"})", AttemptEnd::Done},
         ServiceCase{R"({"service":"busy"})", AttemptEnd::Refused},
--- a/tools/without.py
+++ b/tools/without.py
@@ -188,7 +188,7 @@
         "entry: another's answer"),
     "members-counted": (
         "src/edge/serve_model.h",
-        "Token.Members != Way.View->VmsPerReplica", "false",
+        "Token.Members != Plan.View->VmsPerReplica", "false",
         "groups: a member other"),
     "fresh-reports": (
         "src/control/member_reports.cpp",
@@ -208,15 +208,15 @@
         "stale proposers race"),
     "token-order": (
         "src/edge/serve_model.h",
-        "if (Token.Index > Have.Count)", "if (false)",
+        "if (Token.Index > Progress.Count)", "if (false)",
         "answers: one engine is faulty"),
     "token-repeat": (
         "src/edge/serve_model.h",
-        "if (Token.Index < Have.Count)", "if (false)",
+        "if (Token.Index < Progress.Count)", "if (false)",
         "answers: one engine is faulty"),
     "request-id": (
         "src/edge/target.cpp",
-        'if (textAt(*Row, "request") != Call.Request.Text)', "if (false)",
+        'if (textAt(*Fields, "request") != Call.Request.Text)', "if (false)",
         "answers: one engine is faulty"),
     "visible-cut": (
         "src/edge/callers.cpp",
@@ -268,9 +268,9 @@
         "checkpoint in the middle"),
     "ready-means-newest": (
         "src/edge/daemon.cpp",
-        "Loops.push_back(loop([&In] { return In.Follow.step(); }));",
+        "Loops.push_back(loop([&In] { return In.LogReader.step(); }));",
         "Tables.Ready = true;\n"
-        "  In.Loops.push_back(loop([&In] { return In.Follow.step(); }));",
+        "  In.Loops.push_back(loop([&In] { return In.LogReader.step(); }));",
         "config: a daemon starts"),
     "records-from-peers": (
         "src/control/peers.cpp",
