--- a/src/edge/admission.cpp
+++ b/src/edge/admission.cpp
@@ -20,8 +20,6 @@
   return SlotGate->enter(offerFor(Request, Plan));
 }
 
-/// Sets the gate's limits to this daemon's share of the serving targets'
-/// capacity, split evenly among the data centre's controllers.
 void Admission::setLimits(const CallerRequest &Request, const RoutePlan &Plan,
                           AdmissionGate &SlotGate) const {
   if (Request.Target.Kind != ObjectKind::Deployment) {
--- a/src/edge/admission.h
+++ b/src/edge/admission.h
@@ -23,10 +23,13 @@
                                  std::shared_ptr<AdmissionGate> &SlotGate);
 
 private:
+  /// Sets the gate's limits to this daemon's share of the serving targets'
+  /// capacity, split evenly among the data centre's controllers.
   void setLimits(const CallerRequest &Request, const RoutePlan &Plan,
                  AdmissionGate &SlotGate) const;
   std::shared_ptr<AdmissionGate> gateFor(const CallerRequest &Request,
                                          const RoutePlan &Plan);
+  /// The request's cost estimate, priority and deadline for the fair queue.
   static FairOffer offerFor(const CallerRequest &Request,
                             const RoutePlan &Plan);
 
--- a/src/edge/attempts.cpp
+++ b/src/edge/attempts.cpp
@@ -29,13 +29,13 @@
 }
 
 void Attempts::recordOutcome(const RouteTarget &Target, AttemptEnd End,
-                             std::size_t Known) {
+                             std::size_t TargetCount) {
   bool Failed = End == AttemptEnd::NotSent || End == AttemptEnd::Broken ||
                 End == AttemptEnd::Stalled;
   bool Ejected = this->Tables.Load.write([&](LoadTable &Load) {
     TimePoint Now = SystemClock{}.now();
     Load.onEnd(Target.Key, Failed, Now);
-    return Failed && Load.ejectIfFailing(Target.Key, Known, Now);
+    return Failed && Load.ejectIfFailing(Target.Key, TargetCount, Now);
   });
   if (Ejected)
     this->Tables.Log.emit(EventCode::TargetEjected, Target.Head.Text);
--- a/src/edge/attempts.h
+++ b/src/edge/attempts.h
@@ -11,9 +11,11 @@
 
 /// The attempts made so far for one request.
 struct AttemptHistory {
+  /// Heads of targets that failed.
   std::vector<VmId> Avoid;
   unsigned Attempts = 0;
   bool MayHaveRun = false;
+  /// Why the last attempt failed.
   std::string Reason;
 };
 
@@ -32,12 +34,14 @@
                             const AttemptHistory &History,
                             std::uint64_t Affinity);
   /// Records the outcome of an attempt and ejects a target that keeps failing.
-  /// \p Known is the number of known targets.
+  /// \p TargetCount is the number of targets of the request's plan.
   void recordOutcome(const RouteTarget &Target, AttemptEnd End,
-                     std::size_t Known);
+                     std::size_t TargetCount);
   /// Marks a target that reported itself as leaving, and has gossip pass that
   /// on to the peers.
   void recordLeaving(const RouteTarget &Target);
+  /// Decides whether to finish, retry or give up after an attempt that ended
+  /// with \p End.
   RetryDecision decide(const CallerRequest &Request, AttemptHistory &History,
                        AttemptEnd End);
   /// Records that the request is retried or resumed after failing on
--- a/src/edge/daemon.cpp
+++ b/src/edge/daemon.cpp
@@ -169,12 +169,12 @@
   }
 
   void serve(Poco::Net::HTTPServerRequest &Request, HttpSink &Sink) {
-    absl::StatusOr<CallerRequest> Forward =
+    absl::StatusOr<CallerRequest> Parsed =
         readCallerRequest(Request, this->Owner.Tables);
-    if (Forward.ok())
-      this->Owner.Serve.serve(*Forward, Sink);
+    if (Parsed.ok())
+      this->Owner.Serve.serve(*Parsed, Sink);
     else
-      sendError(Sink, Forward.status());
+      sendError(Sink, Parsed.status());
   }
 
   Parts &Owner;
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -21,6 +21,7 @@
   /// exceeds the deadline; DeadlineBeforeRun where the deadline passes in the
   /// queue.
   absl::StatusOr<TicketId> enter(const FairOffer &Offer);
+  /// Releases the slot of \p Ticket; \p Spent is its actual cost.
   void leave(TicketId Ticket, Tokens Spent);
   void setLimits(std::size_t Slots, std::uint64_t RunningTokens);
   std::size_t waiting() const;
@@ -29,6 +30,7 @@
   bool limitsUpdateDue(TimePoint Now);
 
 private:
+  /// Grants free slots to waiting requests and wakes them.
   void grant(TimePoint Now);
 
   mutable std::mutex Mutex;
