--- a/src/control/claim_binder.h
+++ b/src/control/claim_binder.h
@@ -10,48 +10,48 @@
 
 namespace waycove {
 
-/// Claims in one record at most.
+/// Max number of claims in one record.
 constexpr std::size_t MaxClaimBatch = 512;
-/// The log takes a few hundred appends a second from all daemons together. So
-/// each waits between two batches, the longer the more daemons there are: all
-/// of them stay below 250 batches a second, and what grows is the batch.
+/// Pause between two batches. It grows with the number of daemons, so that all
+/// together send at most 250 batches per second; the batches get larger
+/// instead.
 constexpr Millis ClaimBatchInterval(20);
 constexpr Millis ClaimIntervalPerDaemon(4);
 
-/// Binds idempotency keys to dispatchers through the log, many in one record.
-/// Where the log came back from an older copy meanwhile, another dispatcher may
-/// have held a key, and the record of that be lost: whatever the log says then,
-/// such a key is not dispatched here.
+/// Binds idempotency keys to dispatchers through the log, with many keys in one
+/// record. If the log is restored from an older copy in the meantime, the
+/// record of another dispatcher that held a key may be lost. Such a key is not
+/// dispatched here, whatever the log says.
 template <LogService Service> class ClaimBinder {
 public:
   ClaimBinder(Board &Tables, Submitter<Service> &Submit)
       : Tables(Tables), Submit(Submit),
         Worker([this](const std::stop_token &Stop) { this->run(Stop); }) {}
 
-  /// The incarnation that may dispatch \p Id. Errors: LogUnavailable (nobody
-  /// has dispatched it on this call's behalf, so it has not run here) and
-  /// KeyExpired.
+  /// Returns the incarnation that may dispatch \p Id. Errors: LogUnavailable
+  /// (it was not dispatched for this call) and KeyExpired.
   absl::StatusOr<IncarnationId> bind(const ClaimId &Id, WallMs Issued,
                                      TimePoint Until) {
     if (!this->Tables.LogUp || this->Tables.Restoring)
       return makeError(ErrorKind::LogUnavailable, "the log does not answer",
                        Millis(1000));
-    auto Entry = std::make_shared<PendingClaim>();
-    Entry->Id = Id;
-    Entry->Issued = Issued;
+    auto Claim = std::make_shared<PendingClaim>();
+    Claim->Id = Id;
+    Claim->Issued = Issued;
     std::unique_lock Lock(this->Mutex);
-    this->Queue.push_back(Entry);
+    this->Queue.push_back(Claim);
     this->Changed.notify_all();
     waitUntil(this->Changed, Lock, Until,
-              [&] { return Entry->Result.has_value(); });
-    if (Entry->Result)
-      return *Entry->Result;
-    std::erase(this->Queue, Entry);
+              [&] { return Claim->Result.has_value(); });
+    if (Claim->Result)
+      return *Claim->Result;
+    std::erase(this->Queue, Claim);
     return makeError(ErrorKind::LogUnavailable,
                      "the log did not confirm the key in time", Millis(1000));
   }
 
 private:
+  /// A claim that a caller of bind() waits for.
   struct PendingClaim {
     ClaimId Id;
     WallMs Issued;
@@ -59,18 +59,19 @@
   };
   using Batch = std::vector<std::shared_ptr<PendingClaim>>;
 
+  /// Submits queued claims in batches until stopped.
   void run(const std::stop_token &Stop) {
     while (!Stop.stop_requested()) {
-      Batch Rows = this->nextBatch(Stop);
-      if (Rows.empty())
+      Batch Claims = this->nextBatch(Stop);
+      if (Claims.empty())
         continue;
       wire::ClaimBatchT Body;
       Body.dispatcher = this->Tables.Self.Incarnation.Text;
-      for (const auto &Row : Rows) {
+      for (const auto &Claim : Claims) {
         auto Key = std::make_unique<wire::ClaimKeyT>();
-        Key->workspace = Row->Id.Workspace.Text;
-        Key->key = Row->Id.Key.Text;
-        Key->issued_ms = Row->Issued.Value;
+        Key->workspace = Claim->Id.Workspace.Text;
+        Key->key = Claim->Id.Key.Text;
+        Key->issued_ms = Claim->Issued.Value;
         Body.claims.push_back(std::move(Key));
       }
       TimePoint Until = SystemClock{}.now() + std::chrono::seconds(2);
@@ -78,11 +79,11 @@
       absl::StatusOr<FoldOutcome> Outcome =
           this->Submit.submit(std::move(Body), Until);
       if (this->Tables.Restoring || this->logEra() != Began) {
-        this->giveUp(Rows);
+        this->abandon(Claims);
         Outcome = makeError(ErrorKind::LogUnavailable,
                             "the log came back from an older copy");
       }
-      this->setResults(Rows, Outcome);
+      this->setResults(Claims, Outcome);
       std::this_thread::sleep_for(this->pause());
     }
   }
@@ -92,11 +93,12 @@
         [](const FoldState &State) { return eraOf(State.next()); });
   }
 
-  /// The log may name this daemon as their dispatcher from now on.
-  void giveUp(const Batch &Rows) {
+  /// Marks the keys so that this daemon does not dispatch them even if the log
+  /// names it as their dispatcher.
+  void abandon(const Batch &Claims) {
     this->Tables.Idempotency.write([&](OnceTable &Known) {
-      for (const auto &Row : Rows)
-        Known.giveUp(Row->Id, Row->Issued);
+      for (const auto &Claim : Claims)
+        Known.giveUp(Claim->Id, Claim->Issued);
     });
   }
 
@@ -111,26 +113,27 @@
     std::unique_lock Lock(this->Mutex);
     this->Changed.wait(Lock, Stop, [&] { return !this->Queue.empty(); });
     std::size_t Count = std::min(this->Queue.size(), MaxClaimBatch);
-    Batch Rows(this->Queue.begin(),
-               this->Queue.begin() + static_cast<std::ptrdiff_t>(Count));
+    Batch Claims(this->Queue.begin(),
+                 this->Queue.begin() + static_cast<std::ptrdiff_t>(Count));
     this->Queue.erase(this->Queue.begin(),
                       this->Queue.begin() + static_cast<std::ptrdiff_t>(Count));
-    return Rows;
+    return Claims;
   }
 
-  void setResults(const Batch &Rows,
+  /// Wakes the callers with the result of their claims.
+  void setResults(const Batch &Claims,
                   const absl::StatusOr<FoldOutcome> &Outcome) {
     std::lock_guard Lock(this->Mutex);
-    for (std::size_t I = 0; I < Rows.size(); ++I) {
-      if (!Outcome.ok() || Outcome->Holders.size() != Rows.size())
-        Rows[I]->Result =
+    for (std::size_t I = 0; I < Claims.size(); ++I) {
+      if (!Outcome.ok() || Outcome->Holders.size() != Claims.size())
+        Claims[I]->Result =
             makeError(ErrorKind::LogUnavailable,
                       "the log did not confirm the key", Millis(1000));
       else if (Outcome->Holders[I].empty())
-        Rows[I]->Result = makeError(ErrorKind::KeyExpired,
-                                    "the key's time is outside its window");
+        Claims[I]->Result = makeError(ErrorKind::KeyExpired,
+                                      "the key's time is outside its window");
       else
-        Rows[I]->Result = Outcome->Holders[I];
+        Claims[I]->Result = Outcome->Holders[I];
     }
     this->Changed.notify_all();
   }
--- a/src/control/engine_control.h
+++ b/src/control/engine_control.h
@@ -11,7 +11,7 @@
 
 namespace waycove {
 
-/// One order to a VM to load a model as a member of a group.
+/// Order to a VM to load a model as a member of a group.
 struct EngineOrder {
   VmAddress Address;
   Fence Group;
@@ -22,7 +22,7 @@
   std::vector<std::string> Members;
 };
 
-/// What a VM says about itself.
+/// Status that a VM reports about itself.
 struct MemberReport {
   Fence Group;
   bool Loaded = false;
@@ -31,7 +31,7 @@
   double Queue = 0;
 };
 
-/// A model engine, as the group controller uses it.
+/// Interface of the group controller to the model engines on VMs.
 template <typename T>
 concept EngineControl = requires(T &E, const EngineOrder &Order,
                                  const VmAddress &At) {
--- a/src/control/group_controller.h
+++ b/src/control/group_controller.h
@@ -12,22 +12,23 @@
 
 namespace waycove {
 
-/// A round later than this shows that the process was paused.
+/// A longer gap between two rounds means that the process was suspended.
 constexpr Millis PauseThreshold(1200);
-/// A VM that did not answer is not proposed again for this long.
+/// A VM that did not respond is not proposed again for this long.
 constexpr Millis SuspectDuration(8000);
-/// A group whose member leaves in a planned way is replaced once it was idle
-/// for this long, so that requests on their way to it still find it.
+/// A group with a member that drains or leaves is replaced only after it was
+/// idle for this long, so that requests on their way still reach it.
 constexpr Millis IdleBeforeReplace(2500);
 constexpr Millis ProposalTimeout(4000);
 constexpr std::size_t PollThreads = 16;
 constexpr std::size_t ProposalThreads = 4;
 
-/// Controls this daemon's share of the data centre's groups: forms them by
-/// records in the log, orders their members to load under the fence, asks the
-/// members how they are, and publishes which groups serve. The share follows
-/// from rendezvous hashing over the live daemons; should two daemons hold the
-/// same slot for a while, the log accepts one proposal and refuses the other.
+/// Controls the groups in the slots assigned to this daemon: forms groups by
+/// appending records to the log, orders their members to load under the group's
+/// fence, polls the members, and publishes which groups are ready. Slots are
+/// assigned by rendezvous hashing over the live daemons of the data centre. Two
+/// daemons may both control a slot for a while; the log then accepts only one
+/// of their proposals.
 template <EngineControl Engine, LogService Service> class GroupController {
 public:
   GroupController(Board &Tables, Submitter<Service> &Submit, Engine &Targets)
@@ -35,11 +36,12 @@
         Reports(Tables.Config), Polls(PollThreads), Proposals(ProposalThreads) {
   }
 
-  /// One round.
+  /// Runs one control round.
   void step(TimePoint Now) {
     if (!this->Tables.Ready)
       return;
-    // 1. After a pause, neither what was heard nor who owns what is known.
+    // 1. After a suspension, earlier reports and slot assignments may be out of
+    // date.
     if (this->LastStep != TimePoint() &&
         Now - this->LastStep > PauseThreshold) {
       this->Reports.invalidate(Now);
@@ -49,33 +51,35 @@
           });
     }
     this->LastStep = Now;
-    // What peers read of this daemon's rows is vouched for from here on.
+    // Tells peers that the health rows of this daemon are up to date.
     this->Tables.LastRound =
         std::chrono::duration_cast<Millis>(Now.time_since_epoch()).count();
-    // 2. Look.
+    // 2. Poll the members of the groups.
     std::vector<SlotTask> Tasks = this->collect(Now);
     this->poll(Tasks, Now);
-    // 3. Publish which groups serve, and order those that do not.
-    for (const SlotTask &Row : Tasks)
-      if (Row.Present) {
-        GroupReadiness Verdict =
-            this->Reports.checkReadiness(*Row.Present, Now);
-        this->publish(*Row.Present, Verdict);
-        if (!Verdict.Ready && Row.Mine)
-          this->orderMembers(Row, Now);
+    // 3. Publish which groups are ready, and order members of the others.
+    for (const SlotTask &Task : Tasks)
+      if (Task.Existing) {
+        GroupReadiness Readiness =
+            this->Reports.checkReadiness(*Task.Existing, Now);
+        this->publish(*Task.Existing, Readiness);
+        if (!Readiness.Ready && Task.Assigned)
+          this->orderMembers(Task, Now);
       }
-    // 4. Form and repair.
+    // 4. Form, repair and dissolve groups.
     if (Now >= this->HoldUntil)
       this->plan(Tasks, Now);
   }
 
 private:
+  /// A slot to control, with its deployment and its group, if it has one.
   struct SlotTask {
     SlotKey Place;
-    std::shared_ptr<const Object> Owner;
-    std::optional<Group> Present;
-    bool Mine = false;
-    /// The slot is no longer asked for.
+    std::shared_ptr<const Object> Definition;
+    std::optional<Group> Existing;
+    /// The slot is assigned to this daemon.
+    bool Assigned = false;
+    /// The deployment no longer has this slot; its group is to be dissolved.
     bool Surplus = false;
   };
 
@@ -83,7 +87,8 @@
     return mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
   }
 
-  /// Slots that are this daemon's, and groups whose published health is.
+  /// Returns the slots assigned to this daemon, and the slots of groups whose
+  /// published health comes from it.
   std::vector<SlotTask> collect(TimePoint Now) {
     std::vector<NodeHash> Live = this->Tables.controllers(Now);
     const DataCentreId &Here = this->Tables.Self.DataCentre;
@@ -109,17 +114,17 @@
         bool Surplus =
             !Row || Formed.Place.Index.Value >=
                         Row->template as<Deployment>()->replicasIn(Here);
-        bool Mine = rendezvousOwner(Live, slotHash(Formed.Place)) ==
-                    this->Tables.Self.Hash;
-        if (Mine || this->isPublishedHere(Id))
-          Tasks.push_back({Formed.Place, Row, Formed, Mine, Surplus});
+        bool Assigned = rendezvousOwner(Live, slotHash(Formed.Place)) ==
+                        this->Tables.Self.Hash;
+        if (Assigned || this->isPublishedHere(Id))
+          Tasks.push_back({Formed.Place, Row, Formed, Assigned, Surplus});
       }
     });
     return Tasks;
   }
 
-  /// Health that this daemon published stays its business until another
-  /// daemon has published newer.
+  /// Returns true if the newest health of group \p Id was published by this
+  /// daemon, which then updates it until another daemon publishes a newer one.
   bool isPublishedHere(Fence Id) const {
     return this->Tables.Health.read([&](const HealthTable &Rows) {
       std::optional<GroupHealth> Row = Rows.find(Id);
@@ -127,11 +132,12 @@
     });
   }
 
+  /// Starts polls of the group members that are due.
   void poll(const std::vector<SlotTask> &Tasks, TimePoint Now) {
     std::set<VmId> Wanted;
-    for (const SlotTask &Row : Tasks)
-      if (Row.Present)
-        Wanted.insert(Row.Present->Vms.begin(), Row.Present->Vms.end());
+    for (const SlotTask &Task : Tasks)
+      if (Task.Existing)
+        Wanted.insert(Task.Existing->Vms.begin(), Task.Existing->Vms.end());
     this->Reports.retainOnly(Wanted);
     for (const VmId &Vm : Wanted) {
       std::optional<VmAddress> Address = this->addressOf(Vm);
@@ -153,14 +159,14 @@
 
   void recordLeaving(const VmId &Vm) {
     WallMs Now = SystemClock{}.wall();
-    bool News = this->Tables.Vms.write([&](VmTable &Vms) {
+    bool IsNew = this->Tables.Vms.write([&](VmTable &Vms) {
       return !Vms.isLeaving(Vm, Now) &&
              Vms.recordLeaving(Vm, Board::leavingUntil(Now),
                                this->Tables.nextLocalMark());
     });
-    if (!News)
+    if (!IsNew)
       return;
-    this->Tables.Log.emit(EventCode::VmLeaving, Vm.Text, "its own word");
+    this->Tables.Log.emit(EventCode::VmLeaving, Vm.Text, "reported by the VM");
     this->Tables.GossipRequested.set();
   }
 
@@ -173,44 +179,48 @@
         });
   }
 
-  void publish(const Group &Formed, const GroupReadiness &Verdict) {
+  /// Publishes the readiness of a group if it changed or this daemon has taken
+  /// over its slot.
+  void publish(const Group &Formed, const GroupReadiness &Readiness) {
     std::optional<GroupHealth> Old = this->Tables.Health.read(
         [&](const HealthTable &Rows) { return Rows.find(Formed.Id); });
-    bool Mine = Old && Old->Owner == this->Tables.Self.Hash;
-    if (Mine && Old->Ready == Verdict.Ready)
+    bool IsPublisher = Old && Old->Owner == this->Tables.Self.Hash;
+    if (IsPublisher && Old->Ready == Readiness.Ready)
       return;
-    // A daemon that has just taken over says nothing before it knows.
-    if (!Mine && !Verdict.Ready && Verdict.Reason == "not heard yet")
+    // A daemon that has just taken over the slot publishes nothing before the
+    // members have reported to it.
+    if (!IsPublisher && !Readiness.Ready && Readiness.Reason == "no report yet")
       return;
     GroupHealth Row{this->Tables.Clock.tick(SystemClock{}.wall()),
-                    this->Tables.Self.Hash, Verdict.Ready, ChangeMark()};
+                    this->Tables.Self.Hash, Readiness.Ready, ChangeMark()};
     this->Tables.Health.write([&](HealthTable &Rows) {
       Row.Mark = this->Tables.nextLocalMark();
       Rows.put(Formed.Id, Row);
     });
     this->Tables.GossipRequested.set();
-    if (Old && Old->Ready == Verdict.Ready)
+    if (Old && Old->Ready == Readiness.Ready)
       return;
     this->Tables.Log.emit(
-        Verdict.Ready ? EventCode::GroupReady : EventCode::GroupNotReady,
+        Readiness.Ready ? EventCode::GroupReady : EventCode::GroupNotReady,
         std::to_string(Formed.Id.Value),
-        Verdict.Ready ? "" : Verdict.Member.Text + ": " + Verdict.Reason);
+        Readiness.Ready ? "" : Readiness.Member.Text + ": " + Readiness.Reason);
   }
 
-  void orderMembers(const SlotTask &Row, TimePoint Now) {
-    if (Row.Surplus || Now < this->HoldUntil)
+  /// Orders members that do not report this group to load its model.
+  void orderMembers(const SlotTask &Task, TimePoint Now) {
+    if (Task.Surplus || Now < this->HoldUntil)
       return;
-    const auto *Spec = Row.Owner->template as<Deployment>();
-    const Group &Formed = *Row.Present;
+    const auto *Spec = Task.Definition->template as<Deployment>();
+    const Group &Formed = *Task.Existing;
     for (std::size_t Rank = 0; Rank < Formed.Vms.size(); ++Rank) {
       const VmId &Vm = Formed.Vms[Rank];
       std::optional<MemberRecord> State = this->Reports.find(Vm);
-      bool Obeys =
+      bool Joined =
           State && State->HasReport && State->Report.Group == Formed.Id;
       std::optional<VmAddress> Address = this->addressOf(Vm);
-      if (Obeys || !Address || !this->Reports.beginOrder(Vm, Now))
+      if (Joined || !Address || !this->Reports.beginOrder(Vm, Now))
         continue;
-      EngineOrder Order{*Address,    Formed.Id,     Row.Place.Deployment.Text,
+      EngineOrder Order{*Address,    Formed.Id,     Task.Place.Deployment.Text,
                         Spec->Model, Spec->Version, Rank,
                         {}};
       for (const VmId &Other : Formed.Vms)
@@ -226,26 +236,28 @@
     }
   }
 
-  /// Builds the pool for \p Spec from the tables.
+  /// Builds the pool of VMs from which groups of \p Spec are planned.
   PlanPool poolFor(const Deployment &Spec, TimePoint Now) {
-    std::vector<PlanVm> Rows;
+    std::vector<PlanVm> Candidates;
     WallMs Wall = SystemClock{}.wall();
     this->Tables.State.read([&](const FoldState &State) {
-      std::optional<Selector> Own = State.resolve(Spec.Match, Spec.Selectors);
+      std::optional<Selector> Allowed =
+          State.resolve(Spec.Match, Spec.Selectors);
       DrainSet Drains(State);
       this->Tables.Vms.read([&](const VmTable &Vms) {
         for (const auto &[Vm, Info] : Vms.rows()) {
-          Labels Joined = effectiveLabels(Info, State);
-          Assignment Now2 = State.assignment(Vm);
-          bool Usable = Own && Own->matches(Joined) &&
-                        !Drains.covers(Vm, Joined) &&
+          Labels VmLabels = effectiveLabels(Info, State);
+          Assignment Current = State.assignment(Vm);
+          bool Usable = Allowed && Allowed->matches(VmLabels) &&
+                        !Drains.covers(Vm, VmLabels) &&
                         !Vms.isLeaving(Vm, Wall) && !this->isSuspect(Vm, Now) &&
                         !this->Reports.isDead(Vm, Now);
-          Rows.push_back({Vm, Info.Domain, Usable, Now2.Stamp, Now2.Group});
+          Candidates.push_back(
+              {Vm, Info.Domain, Usable, Current.Stamp, Current.Group});
         }
       });
     });
-    return PlanPool(std::move(Rows));
+    return PlanPool(std::move(Candidates));
   }
 
   bool isSuspect(const VmId &Vm, TimePoint Now) {
@@ -256,62 +268,69 @@
 
   void plan(const std::vector<SlotTask> &Tasks, TimePoint Now) {
     std::map<std::string, PlanPool> Pools;
-    for (const SlotTask &Row : Tasks) {
-      if (!Row.Mine || !this->canChange(Row, Now))
+    for (const SlotTask &Task : Tasks) {
+      if (!Task.Assigned || !this->canChange(Task, Now))
         continue;
       std::optional<Proposal> Plan;
-      if (Row.Surplus) {
-        Plan = Proposal{Row.Place, Row.Present->Id, DomainId(), {}};
+      if (Task.Surplus) {
+        Plan = Proposal{Task.Place, Task.Existing->Id, DomainId(), {}};
       } else {
-        const auto *Spec = Row.Owner->template as<Deployment>();
-        auto At = Pools.find(Row.Place.Deployment.Text);
+        const auto *Spec = Task.Definition->template as<Deployment>();
+        auto At = Pools.find(Task.Place.Deployment.Text);
         if (At == Pools.end())
-          At =
-              Pools
-                  .emplace(Row.Place.Deployment.Text, this->poolFor(*Spec, Now))
-                  .first;
-        Plan = planSlot(Row.Place, *Spec, Row.Present ? &*Row.Present : nullptr,
-                        At->second, RepairPolicy::KeepMembers);
+          At = Pools
+                   .emplace(Task.Place.Deployment.Text,
+                            this->poolFor(*Spec, Now))
+                   .first;
+        Plan = planSlot(Task.Place, *Spec,
+                        Task.Existing ? &*Task.Existing : nullptr, At->second,
+                        RepairPolicy::KeepMembers);
       }
       if (Plan)
         this->propose(*Plan, Now);
     }
   }
 
-  /// Whether the slot may be changed now: no proposal is under way, something
-  /// is wrong with its group, and no request in flight would be cut.
-  bool canChange(const SlotTask &Row, TimePoint Now) {
+  /// Returns true if the slot needs a new or changed group and can get it now:
+  /// no proposal is pending, and a group that still serves is idle or past the
+  /// drain timeout.
+  bool canChange(const SlotTask &Task, TimePoint Now) {
     {
       std::lock_guard Lock(this->Mutex);
-      if (this->PendingProposals.contains(Row.Place))
+      if (this->PendingProposals.contains(Task.Place))
         return false;
     }
-    if (!Row.Present)
+    if (!Task.Existing)
       return true;
-    GroupReadiness Verdict = this->Reports.checkReadiness(*Row.Present, Now);
-    if (!Verdict.Ready)
-      return this->hasUnusableMember(Row, Now) || Row.Surplus;
-    // The group is whole: it is changed only on purpose, and when idle.
-    if (!Row.Surplus && !this->hasUnusableMember(Row, Now)) {
-      this->IdleSince.erase(Row.Present->Id);
-      this->UnusableSince.erase(Row.Present->Id);
+    GroupReadiness Readiness =
+        this->Reports.checkReadiness(*Task.Existing, Now);
+    if (!Readiness.Ready)
+      return this->hasUnusableMember(Task, Now) || Task.Surplus;
+    // The group serves: it is replaced only if a member must go or the slot is
+    // surplus, and only when it is idle or the drain timeout has passed.
+    if (!Task.Surplus && !this->hasUnusableMember(Task, Now)) {
+      this->IdleSince.erase(Task.Existing->Id);
+      this->ReplaceDueSince.erase(Task.Existing->Id);
       return false;
     }
-    auto [Began, Fresh] = this->UnusableSince.try_emplace(Row.Present->Id, Now);
-    std::optional<MemberRecord> Head = this->Reports.find(Row.Present->Vms[0]);
+    auto [Began, Inserted] =
+        this->ReplaceDueSince.try_emplace(Task.Existing->Id, Now);
+    std::optional<MemberRecord> Head =
+        this->Reports.find(Task.Existing->Vms[0]);
     if (!Head || Head->Report.Running > 0)
-      this->IdleSince[Row.Present->Id] = Now;
-    auto [Idle, Started] = this->IdleSince.try_emplace(Row.Present->Id, Now);
+      this->IdleSince[Task.Existing->Id] = Now;
+    auto [Idle, Started] = this->IdleSince.try_emplace(Task.Existing->Id, Now);
     bool Over = Now - Began->second > this->Tables.Config.DrainTimeout;
     return Over || Now - Idle->second > IdleBeforeReplace;
   }
 
-  bool hasUnusableMember(const SlotTask &Row, TimePoint Now) {
+  /// Returns true if a member is not listed, leaves, drains or is dead.
+  bool hasUnusableMember(const SlotTask &Task, TimePoint Now) {
     WallMs Wall = SystemClock{}.wall();
     return this->Tables.State.read([&](const FoldState &State) {
       DrainSet Drains(State);
       return this->Tables.Vms.read([&](const VmTable &Vms) {
-        for (const VmId &Vm : Row.Present->Vms) {
+        for (const VmId &Vm : Task.Existing->Vms) {
           const VmInfo *Info = Vms.find(Vm);
           if (!Info || Vms.isLeaving(Vm, Wall) ||
               Drains.covers(Vm, effectiveLabels(*Info, State)) ||
@@ -323,6 +342,7 @@
     });
   }
 
+  /// Appends \p Plan to the log in the background if its VMs respond.
   void propose(const Proposal &Plan, TimePoint Now) {
     {
       std::lock_guard Lock(this->Mutex);
@@ -336,18 +356,19 @@
     });
   }
 
-  /// Asks the VMs of \p Plan whether they live, for the list lags.
+  /// Returns true if all VMs of \p Plan respond; the VM list may be out of
+  /// date.
   bool allRespond(const Proposal &Plan, TimePoint Now) {
-    bool All = true;
+    bool AllOk = true;
     for (const PlanVm &Row : Plan.Vms) {
       std::optional<VmAddress> Address = this->addressOf(Row.Vm);
       if (Address && this->Targets.report(*Address).ok())
         continue;
-      All = false;
+      AllOk = false;
       std::lock_guard Lock(this->Mutex);
       this->Suspects[Row.Vm] = Now + SuspectDuration;
     }
-    return All;
+    return AllOk;
   }
 
   void append(const Proposal &Plan) {
@@ -380,12 +401,16 @@
   MemberReports Reports;
   TimePoint LastStep;
   TimePoint HoldUntil;
+  /// Since when a group that is to be replaced has been idle.
   std::unordered_map<Fence, TimePoint> IdleSince;
-  std::unordered_map<Fence, TimePoint> UnusableSince;
+  /// Since when a ready group has been due for replacement.
+  std::unordered_map<Fence, TimePoint> ReplaceDueSince;
   std::mutex Mutex;
+  /// VMs that did not respond to a proposal, and until when they are avoided.
   std::unordered_map<VmId, TimePoint> Suspects;
   std::set<SlotKey> PendingProposals;
-  // The pools go first: their tasks use all of the above.
+  // Declared last so that they are destroyed first: their tasks use the members
+  // above.
   WorkerPool Polls;
   WorkerPool Proposals;
 };
--- a/src/control/log.h
+++ b/src/control/log.h
@@ -11,21 +11,21 @@
 
 namespace waycove {
 
-/// What a read of a stream gives. Its offsets hold the store's era (EraShift),
-/// so that they only grow: where the log came back from an older copy, the same
-/// records have larger ones.
+/// Result of reading a stream. Offsets include the store's era (EraShift), so
+/// that they only grow: after the log was restored from an older copy, the same
+/// records have larger offsets.
 struct LogPage {
-  /// Offset of the oldest record that the log still holds.
+  /// Offset of the oldest record that the log still has.
   Offset First;
-  /// Offset that the next appended record will get.
+  /// Offset of the next record to be appended.
   Offset Next;
   std::vector<LogRecord> Records;
 };
 
 enum class LogStream { Records, Checkpoints };
 
-/// The platform's append-only log. An append's error kind is LogUnavailable
-/// where nothing was written, and OutcomeUnknown where it may have been.
+/// The platform's append-only log. A failed append returns LogUnavailable if
+/// nothing was written, and OutcomeUnknown if the record may have been written.
 template <typename T>
 concept LogService = requires(T &L, LogStream Stream, const std::string &Bytes,
                               Offset From, std::size_t Max, Millis Wait) {
--- a/src/control/log_follower.h
+++ b/src/control/log_follower.h
@@ -13,34 +13,35 @@
 
 namespace waycove {
 
-/// Records read from the log in one call.
+/// Max number of records read from the log in one call.
 constexpr std::size_t MaxReadBatch = 512;
 constexpr Millis LongPollTimeout(1000);
 constexpr Millis UnreachableRetryInterval(200);
-/// Data centres with more daemons than this leave the reading to their relays,
-/// and the others learn records from their peers.
+/// In data centres with more daemons than this, only the relays read the log;
+/// the others get records from their peers.
 constexpr std::size_t MaxDirectReaders = 9;
+/// Interval at which a daemon that gets records from peers reads the log.
 constexpr Millis FallbackReadInterval(5000);
-/// For each daemon to notice that the log came back from an older copy, by its
-/// long poll, and to write again what that lost: a call's time-out later.
+/// Time for all daemons to notice that the log was restored from an older copy
+/// and to append the lost records again: a long poll and the timeout of a call.
 constexpr Millis RewriteGracePeriod(3000);
-/// Between two tries to write the same record again.
+/// Interval between attempts to append the same lost record again.
 constexpr Millis RewriteRetryInterval(500);
 
-/// Reads the platform's log and folds it; loads a checkpoint where the log has
-/// forgotten what comes next, and writes one now and then. Where the log came
-/// back from an older copy, it folds that from its start, writes again what is
-/// lost, and has the daemon take requests when all daemons had the time to: a
-/// key that one of them had claimed must not be claimed anew, and no older
-/// configuration comes in force.
+/// Reads and folds the platform's log. Loads a checkpoint if the log no longer
+/// has the next record, and regularly writes one. After the log was restored
+/// from an older copy, it folds that copy from its start, appends the lost
+/// records again, and lets the daemon serve only after all daemons had time to
+/// do the same. Otherwise a key could be claimed twice, or an older config
+/// could come into force.
 template <LogService Service> class LogFollower {
 public:
   LogFollower(Board &Tables, RecordFolder &Fold, Service &Platform)
       : Tables(Tables), Fold(Fold), Platform(Platform) {}
 
-  /// One read and what follows from it. Returns how long to pause.
+  /// Reads and folds once; returns the pause before the next step.
   Millis step() {
-    // 1. Peers pass records on; only some need to ask the log.
+    // 1. Skip the read if peers provide the records.
     TimePoint Now = SystemClock{}.now();
     if (this->Tables.Ready && !this->readsLog(Now) &&
         Now - this->LastRead < FallbackReadInterval)
@@ -54,19 +55,19 @@
     this->recordReachability(Page.status());
     if (!Page.ok())
       return UnreachableRetryInterval;
-    // 3. The log came back from an older copy: nothing follows from the state.
+    // 3. The log was restored from an older copy: fold it from its start.
     if (eraOf(Page->Next) > eraOf(From)) {
       this->beginEra(Page->First);
       return Millis(0);
     }
-    // 4. An answer older than the state is not taken.
+    // 4. Ignore a response that is older than the state.
     if (Page->Next < From) {
       this->Tables.Log.emit(EventCode::LogStale,
                             std::to_string(Page->Next.Value),
                             "folded " + std::to_string(From.Value));
       return UnreachableRetryInterval;
     }
-    // 5. The log forgot what comes next: a checkpoint has it.
+    // 5. If the log no longer has the next record, load a checkpoint.
     bool AtStart = From == Page->First && !this->TriedCheckpoint;
     if (Page->First > From || AtStart) {
       this->TriedCheckpoint = true;
@@ -75,7 +76,7 @@
       if (this->Fold.next() != From)
         return Millis(0);
     }
-    // 6. Fold, and see whether that is all there is.
+    // 6. Fold, and check whether the state has caught up with the log.
     this->Fold.apply(Page->Records);
     if (this->Fold.next() >= Page->Next && this->rewriteLostRecords())
       this->becomeReady();
@@ -83,7 +84,7 @@
     return Millis(0);
   }
 
-  /// Appends the folded state to the log.
+  /// Appends the folded state to the checkpoints of the log.
   absl::Status writeCheckpoint() {
     std::string Bytes = this->Tables.State.read(
         [](const FoldState &State) { return State.save(); });
@@ -98,14 +99,15 @@
   }
 
 private:
+  /// Returns true if this daemon should read the log itself now.
   bool readsLog(TimePoint Now) const {
     if (this->Fold.hasPending())
       return true;
     std::vector<Member> Members = this->Tables.members(Now);
-    std::size_t Here = 0;
+    std::size_t LocalCount = 0;
     for (const Member &Row : Members)
-      Here += Row.DataCentre == this->Tables.Self.DataCentre ? 1 : 0;
-    if (Here <= MaxDirectReaders)
+      LocalCount += Row.DataCentre == this->Tables.Self.DataCentre ? 1 : 0;
+    if (LocalCount <= MaxDirectReaders)
       return true;
     std::vector<NodeHash> Relays =
         relaysOf(Members, this->Tables.Self.DataCentre);
@@ -128,40 +130,42 @@
     this->RewriteGraceEnd = SystemClock{}.now() + RewriteGracePeriod;
   }
 
-  /// Writes what the newest restore lost; whether nothing is left, and other
-  /// daemons had the time to write what this one does not know.
+  /// Appends the records that the newest restore lost. Returns true once none
+  /// is missing and other daemons had time to append those that this one lacks.
   bool rewriteLostRecords() {
     TimePoint Now = SystemClock{}.now();
-    if (std::optional<FoldState> Before = this->Fold.takeStateBeforeRestore()) {
+    if (std::optional<FoldState> OldState =
+            this->Fold.takeStateBeforeRestore()) {
       this->RewriteGraceEnd = Now + RewriteGracePeriod;
-      this->LostRecords = this->Tables.State.read(
-          [&](const FoldState &State) { return lostRecords(*Before, State); });
+      this->LostRecords = this->Tables.State.read([&](const FoldState &State) {
+        return lostRecords(*OldState, State);
+      });
     }
     this->Tables.State.read([&](const FoldState &State) {
-      std::erase_if(this->LostRecords, [&](const wire::RecordT &Row) {
-        return isSettled(Row, State);
+      std::erase_if(this->LostRecords, [&](const wire::RecordT &Record) {
+        return isSettled(Record, State);
       });
     });
     if (!this->LostRecords.empty() && Now >= this->NextRewrite) {
       this->NextRewrite = Now + RewriteRetryInterval;
-      for (wire::RecordT &Row : this->LostRecords)
-        this->rewrite(Row);
+      for (wire::RecordT &Record : this->LostRecords)
+        this->rewrite(Record);
     }
     return this->LostRecords.empty() && Now >= this->RewriteGraceEnd;
   }
 
-  void rewrite(wire::RecordT &Row) {
-    Row.node = this->Tables.Self.Node.Text;
+  void rewrite(wire::RecordT &Record) {
+    Record.node = this->Tables.Self.Node.Text;
     absl::StatusOr<Offset> At =
-        this->Platform.append(LogStream::Records, packRecord(Row));
-    this->Tables.Log.emit(EventCode::RecordWrittenAgain, Row.id,
+        this->Platform.append(LogStream::Records, packRecord(Record));
+    this->Tables.Log.emit(EventCode::RecordWrittenAgain, Record.id,
                           At.ok() ? std::to_string(withoutEra(At->Value))
                                   : messageOf(At.status()));
   }
 
-  /// Whether the log has the record before \p Place where the checkpoint says.
-  /// One of an earlier era may have been written by a daemon that had not
-  /// noticed that the log came back; then the log holds another record there.
+  /// Returns true if the log has the last record of the checkpoint at the same
+  /// position. A checkpoint of an earlier era may come from a daemon that had
+  /// not noticed the restore; the log may then have another record there.
   bool matchesLog(const CheckpointPlace &Place, StoreEra Era) {
     std::uint64_t Next = withoutEra(Place.Next.Value);
     if (eraOf(Place.Next) == Era)
@@ -184,7 +188,7 @@
     if (!Head.ok())
       return false;
     StoreEra Era = eraOf(Head->Next);
-    // The newest may be damaged or half written: then the one before it.
+    // The newest may be damaged or incomplete; then try the previous one.
     for (std::uint64_t At = Head->Next.Value; At > Head->First.Value; --At) {
       absl::StatusOr<LogPage> Page = this->Platform.read(
           LogStream::Checkpoints, Offset(At - 1), 1, Millis(0));
@@ -207,19 +211,20 @@
                                 std::to_string(this->Fold.next().Value));
   }
 
-  /// The daemon on which all agree for this stretch of the log writes its
-  /// checkpoint; should it just have died, the next stretch brings another.
+  /// Writes a checkpoint each time the state has passed another
+  /// CheckpointInterval records. One daemon per interval does, selected by
+  /// rendezvous hashing; if it is dead, the next interval has another.
   void checkpointIfDue(Offset Before) {
-    std::uint64_t Every = this->Tables.Config.CheckpointInterval;
-    std::uint64_t Stretch = this->Fold.next().Value / Every;
-    if (Before.Value / Every == Stretch)
+    std::uint64_t Interval = this->Tables.Config.CheckpointInterval;
+    std::uint64_t Index = this->Fold.next().Value / Interval;
+    if (Before.Value / Interval == Index)
       return;
     std::vector<NodeHash> Live;
-    for (const Member &Row : this->Tables.members(SystemClock{}.now()))
-      Live.push_back(Row.Node);
-    if (rendezvousOwner(Live, Stretch) != this->Tables.Self.Hash)
+    for (const Member &Other : this->Tables.members(SystemClock{}.now()))
+      Live.push_back(Other.Node);
+    if (rendezvousOwner(Live, Index) != this->Tables.Self.Hash)
       return;
-    // A checkpoint that fails is no harm: the records are there still.
+    // If this fails, the log still has the records.
     this->writeCheckpoint().IgnoreError();
   }
 
@@ -228,11 +233,11 @@
   Service &Platform;
   TimePoint LastRead;
   bool TriedCheckpoint = false;
-  /// What the newest restore lost and is not written again yet.
+  /// Records that the newest restore lost and that are not yet appended again.
   std::vector<wire::RecordT> LostRecords;
-  /// When it is tried again.
+  /// When the lost records may next be appended.
   TimePoint NextRewrite;
-  /// By when all daemons had the time to write again what it lost.
+  /// By when all daemons had time to append lost records again.
   TimePoint RewriteGraceEnd;
 };
 
--- a/src/control/member_reports.cpp
+++ b/src/control/member_reports.cpp
@@ -19,9 +19,9 @@
 
 bool MemberReports::beginPoll(const VmId &Vm, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  auto [At, Fresh] = this->Rows.try_emplace(Vm);
+  auto [At, Added] = this->Rows.try_emplace(Vm);
   MemberRecord &Row = At->second;
-  if (Fresh)
+  if (Added)
     Row.PolledSince = Now;
   if (Row.PollPending || Now - Row.LastPoll < this->Config.PollInterval)
     return false;
@@ -67,7 +67,7 @@
   for (const VmId &Vm : Formed.Vms) {
     std::optional<MemberRecord> Row = this->find(Vm);
     if (!Row || !Row->HasReport)
-      return {false, Vm, "not heard yet"};
+      return {false, Vm, "no report yet"};
     if (Now - Row->ReportedAt > this->freshDuration())
       return {false, Vm, "silent"};
     if (Row->Report.Group != Formed.Id)
--- a/src/control/member_reports.h
+++ b/src/control/member_reports.h
@@ -12,48 +12,51 @@
 
 namespace waycove {
 
-/// What the group controller heard from one VM.
+/// Newest report of one VM, and the state of the polls and orders to it.
 struct MemberRecord {
   MemberReport Report;
   bool HasReport = false;
   TimePoint ReportedAt;
-  /// Since when this VM is asked without a break.
+  /// Start of the current uninterrupted series of polls.
   TimePoint PolledSince;
   TimePoint LastPoll;
   TimePoint LastOrder;
   bool PollPending = false;
 };
 
-/// Why a group cannot serve, or that it can.
+/// Whether a group can serve; if not, the member that prevents it and why.
 struct GroupReadiness {
   bool Ready = false;
   VmId Member;
   std::string Reason;
 };
 
-/// Reports of VMs, as polls bring them. Thread-safe; knows no I/O.
+/// Keeps the reports of group members that the caller polls. Does no I/O
+/// itself. Thread-safe.
 class MemberReports {
 public:
   explicit MemberReports(const Settings &Config) : Config(Config) {}
 
-  /// Whether \p Vm is due for a poll; marks it as being asked.
+  /// Returns true if \p Vm is due for a poll, and marks the poll as pending.
   bool beginPoll(const VmId &Vm, TimePoint Now);
+  /// Records the result of a poll.
   void endPoll(const VmId &Vm, const absl::StatusOr<MemberReport> &Report,
                TimePoint Now);
-  /// Whether an order to \p Vm is due; marks it as given.
+  /// Returns true if an order to \p Vm is due, and records it as sent.
   bool beginOrder(const VmId &Vm, TimePoint Now);
   std::optional<MemberRecord> find(const VmId &Vm) const;
-  /// A group serves only if every member itself said just now that it has
-  /// loaded under this very fence.
+  /// A group is ready if the recent report of every member says that it has
+  /// loaded the model under the fence of this group.
   GroupReadiness checkReadiness(const Group &Formed, TimePoint Now) const;
-  /// Whether \p Vm was asked for long and said nothing.
+  /// Returns true if \p Vm was polled for MemberDeadAfter without a response.
   bool isDead(const VmId &Vm, TimePoint Now) const;
-  /// After a pause of this process, what it last heard proves nothing.
+  /// Discards all reports; called after a suspension of this process.
   void invalidate(TimePoint Now);
-  /// Keeps only these VMs.
+  /// Removes all VMs that are not in \p Wanted, except those being polled.
   void retainOnly(const std::set<VmId> &Wanted);
 
 private:
+  /// How long a report counts as recent.
   Millis freshDuration() const;
 
   const Settings &Config;
--- a/src/control/peer_records.cpp
+++ b/src/control/peer_records.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// How records of the log, and the VM list, pass between daemons.
+// Exchange of log records and of the VM list between daemons.
 
 #include "control/peers.h"
 
@@ -11,46 +11,47 @@
 namespace {
 
 constexpr Millis RecordRequestInterval(400);
-/// Records sent in one answer, in bytes.
+/// Max size of the records in one response, in bytes.
 constexpr std::size_t MaxRecordBytes = 1 << 20;
 
 } // namespace
 
+/// Requests records from the peer that has folded the most, if it is ahead.
 void PeerExchange::requestRecords(TimePoint Now) {
-  Offset Mine = this->Fold.next();
-  std::uint64_t Best = Mine.Value;
+  Offset Next = this->Fold.next();
+  std::uint64_t MaxFolded = Next.Value;
   LinkRef From;
-  std::uint64_t Highest = 0;
+  std::uint64_t MaxServing = 0;
   bool AnyServes = false;
-  for (const LinkRef &Row : this->openLinks())
+  for (const LinkRef &PeerLink : this->openLinks())
     this->Tables.Peers.read([&](const PeerTable &Rows) {
-      const Peer *Other = Rows.find(Row->Other);
-      if (!Other || !Rows.isLive(Row->Other, Now) || !Other->has(Serving))
+      const Peer *Other = Rows.find(PeerLink->Other);
+      if (!Other || !Rows.isLive(PeerLink->Other, Now) || !Other->has(Serving))
         return;
       AnyServes = true;
-      Highest = std::max(Highest, Other->Folded);
-      if (Other->Folded > Best &&
-          Now - Row->RequestedAt > RecordRequestInterval) {
-        Best = Other->Folded;
-        From = Row;
+      MaxServing = std::max(MaxServing, Other->Folded);
+      if (Other->Folded > MaxFolded &&
+          Now - PeerLink->RequestedAt > RecordRequestInterval) {
+        MaxFolded = Other->Folded;
+        From = PeerLink;
       }
     });
   if (From) {
     From->RequestedAt = Now;
-    wire::RecordsWantedT Asked;
-    Asked.from = Mine.Value;
-    this->send(*From,
-               makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()), Asked));
+    wire::RecordsWantedT Request;
+    Request.from = Next.Value;
+    this->send(*From, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                                Request));
     return;
   }
-  // A daemon that started while the platform is away serves as soon as it has
-  // all that its peers have.
+  // A daemon that started while the log is unreachable serves once it has all
+  // records that its peers have.
   bool MayServe = !this->Tables.LogUp && !this->Tables.Restoring;
-  if (!this->Tables.Ready && MayServe && AnyServes && Mine.Value >= Highest &&
-      !this->Tables.Ready.exchange(true))
+  if (!this->Tables.Ready && MayServe && AnyServes &&
+      Next.Value >= MaxServing && !this->Tables.Ready.exchange(true))
     this->Tables.Log.emit(EventCode::DaemonReady, this->Tables.Self.Node.Text,
-                          "state taken from peers, up to " +
-                              std::to_string(Mine.Value));
+                          "state received from peers, up to " +
+                              std::to_string(Next.Value));
 }
 
 std::vector<std::unique_ptr<wire::VmRowT>>
@@ -77,8 +78,8 @@
   return Rows;
 }
 
-/// A daemon that started while the platform is away has its VMs from a peer of
-/// the same data centre.
+/// Fills the VM table from a peer of the same data centre if the platform has
+/// not yet provided the VM list.
 void PeerExchange::receiveVms(const wire::RecordsT &Rows) {
   if (Rows.vms.empty() || this->Tables.VmsKnown)
     return;
@@ -100,44 +101,48 @@
   this->Tables.RoutingVersion.fetch_add(1);
 }
 
+/// Requests the VM list from a peer if it is unknown and the log is
+/// unreachable.
 void PeerExchange::requestVms() {
   if (this->Tables.VmsKnown || this->Tables.LogUp)
     return;
-  for (const LinkRef &Row : this->openLinks())
-    if (Row->Centre == this->Tables.Self.DataCentre) {
-      wire::RecordsWantedT Asked;
-      Asked.from = this->Fold.next().Value;
-      Asked.vms = true;
-      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
-                                 Asked));
+  for (const LinkRef &PeerLink : this->openLinks())
+    if (PeerLink->Centre == this->Tables.Self.DataCentre) {
+      wire::RecordsWantedT Request;
+      Request.from = this->Fold.next().Value;
+      Request.vms = true;
+      this->send(
+          *PeerLink,
+          makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()), Request));
       return;
     }
 }
 
-void PeerExchange::sendRecords(Link &To, const wire::RecordsWantedT &Asked) {
-  Offset From(Asked.from);
-  wire::RecordsT Answer;
-  if (Asked.vms && To.Centre == this->Tables.Self.DataCentre &&
+/// Responds to a request with records and, if requested, the VM list.
+void PeerExchange::sendRecords(Link &To, const wire::RecordsWantedT &Request) {
+  Offset From(Request.from);
+  wire::RecordsT Response;
+  if (Request.vms && To.Centre == this->Tables.Self.DataCentre &&
       this->Tables.VmsKnown)
-    Answer.vms = this->vmRows(Answer.vms_version);
+    Response.vms = this->vmRows(Response.vms_version);
   std::vector<LogRecord> Rows = this->Tables.Tail.read(
       [&](const RecordTail &Tail) { return Tail.since(From, MaxRecordBytes); });
   for (const LogRecord &Row : Rows) {
     auto Out = std::make_unique<wire::LogEntryT>();
     Out->offset = Row.At.Value;
     Out->data.assign(Row.Bytes.begin(), Row.Bytes.end());
-    Answer.entries.push_back(std::move(Out));
+    Response.entries.push_back(std::move(Out));
   }
   Offset Next = this->Fold.next();
-  Answer.next = Next.Value;
-  // The tail no longer reaches back that far: then the whole state.
+  Response.next = Next.Value;
+  // If the tail no longer has these records, send the whole state.
   if (Rows.empty() && From < Next) {
     std::string Saved = this->Tables.State.read(
         [](const FoldState &State) { return State.save(); });
-    Answer.checkpoint.assign(Saved.begin(), Saved.end());
+    Response.checkpoint.assign(Saved.begin(), Saved.end());
   }
   this->send(To, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
-                           std::move(Answer)));
+                           std::move(Response)));
 }
 
 void PeerExchange::receiveRecords(const wire::RecordsT &Rows) {
@@ -149,9 +154,9 @@
   for (const auto &Row : Rows.entries)
     Records.push_back(
         {Offset(Row->offset), {Row->data.begin(), Row->data.end()}});
-  std::size_t Taken = this->Fold.apply(Records);
-  if (Taken > 0)
-    this->Tables.Log.emit(EventCode::RecordsFromPeer, std::to_string(Taken),
+  std::size_t Applied = this->Fold.apply(Records);
+  if (Applied > 0)
+    this->Tables.Log.emit(EventCode::RecordsFromPeer, std::to_string(Applied),
                           "up to " + std::to_string(this->Fold.next().Value));
 }
 
--- a/src/control/peers.cpp
+++ b/src/control/peers.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr Millis FirstFrameTimeout(3000);
-/// A link without frames for this long is broken: heartbeats flow all the
-/// time.
+/// A link without frames for this long is considered broken.
 constexpr Millis LinkIdleTimeout(15000);
 constexpr std::size_t MaxConcurrentDials = 8;
 constexpr std::size_t MaxLinks = 64;
 constexpr Millis UnwantedLinkTimeout(5000);
-/// Up to this size the ring's news needs one or two hops.
+/// Up to this size, gossip reaches every daemon in one or two hops.
 constexpr std::size_t SmallDataCentreSize = 9;
+/// Heartbeat intervals without a heartbeat until a daemon counts as lost.
 constexpr int LivenessHeartbeats = 4;
-/// Heartbeats come the slower, the more daemons there are.
+/// The heartbeat interval is at least this long per daemon.
 constexpr Millis HeartbeatIntervalPerMember(20);
-/// Of other data centres' heartbeats one in so many is passed on.
+/// Between data centres, one in this many heartbeats is passed on.
 constexpr std::uint64_t RemoteHeartbeatStride = 4;
 
 class PeerConnection : public Poco::Net::TCPServerConnection {
@@ -61,8 +61,8 @@
   this->Closing = true;
   if (this->Server)
     this->Server->stop();
-  for (const LinkRef &Row : this->openLinks())
-    Row->Socket->shutdown();
+  for (const LinkRef &PeerLink : this->openLinks())
+    PeerLink->Socket->shutdown();
   std::vector<Dialer> Last;
   {
     std::lock_guard Lock(this->Mutex);
@@ -91,11 +91,11 @@
 
 std::vector<PeerExchange::LinkRef> PeerExchange::openLinks() const {
   std::lock_guard Lock(this->Mutex);
-  std::vector<LinkRef> Rows;
-  for (const LinkRef &Row : this->Links)
-    if (Row->Open)
-      Rows.push_back(Row);
-  return Rows;
+  std::vector<LinkRef> Open;
+  for (const LinkRef &PeerLink : this->Links)
+    if (PeerLink->Open)
+      Open.push_back(PeerLink);
+  return Open;
 }
 
 std::size_t PeerExchange::linkCount() const { return this->openLinks().size(); }
@@ -135,7 +135,7 @@
 
 wire::GossipT PeerExchange::gossipFor(Link &To, TimePoint Now) {
   bool Foreign = To.Centre != this->Tables.Self.DataCentre;
-  auto Fresh = [&](const ChangeMark &Mark) {
+  auto IsNew = [&](const ChangeMark &Mark) {
     return Mark.Count > To.SentUpTo && Mark.Link != To.Id;
   };
   wire::GossipT News;
@@ -143,7 +143,7 @@
     if (Foreign)
       return;
     for (const auto &[Id, Row] : Rows.rows())
-      if (Fresh(Row.Mark)) {
+      if (IsNew(Row.Mark)) {
         auto Out = std::make_unique<wire::HealthRowT>();
         Out->fence = Id.Value;
         Out->version = Row.Version;
@@ -154,16 +154,16 @@
   });
   this->Tables.Peers.read([&](const PeerTable &Rows) {
     for (const auto &[Node, Row] : Rows.rows())
-      if (Node != this->Tables.Self.Hash && Fresh(Row.RowMark) && Row.Known)
+      if (Node != this->Tables.Self.Hash && IsNew(Row.RowMark) && Row.Known)
         News.peers.push_back(std::make_unique<wire::PeerRowT>(Row.Row));
   });
   this->addHeartbeats(To, Now, News);
   return News;
 }
 
-/// Heartbeats that the other end does not have yet. Other data centres hear
-/// those of relays only, and every data centre those from elsewhere at a
-/// slower pace: they serve to pass requests on, not to control groups.
+/// Adds the heartbeats that the other end does not have yet. Other data centres
+/// get only those of relays, and heartbeats cross data centres at a lower rate:
+/// there they are needed to forward requests, not to control groups.
 void PeerExchange::addHeartbeats(Link &To, TimePoint Now, wire::GossipT &News) {
   const DataCentreId &Here = this->Tables.Self.DataCentre;
   bool Foreign = To.Centre != Here;
@@ -177,12 +177,12 @@
           std::find(Relays.begin(), Relays.end(), Node) != Relays.end();
       if (Row.Sequence == 0 || !Wanted || Node == this->Tables.Self.Hash)
         continue;
-      std::uint64_t &Has = To.Has[Node];
+      std::uint64_t &Known = To.KnownSequences[Node];
       std::uint64_t Pace =
-          Has > 0 && (Elsewhere || Foreign) ? RemoteHeartbeatStride : 1;
-      if (Row.Sequence < Has + Pace)
+          Known > 0 && (Elsewhere || Foreign) ? RemoteHeartbeatStride : 1;
+      if (Row.Sequence < Known + Pace)
         continue;
-      Has = Row.Sequence;
+      Known = Row.Sequence;
       News.heartbeats.emplace_back(
           Node.Value, Row.Folded, static_cast<std::uint32_t>(Row.Sequence),
           static_cast<std::uint16_t>(std::min(Row.InFlight, 65535U)),
@@ -192,32 +192,35 @@
 }
 
 void PeerExchange::flush(TimePoint Now, bool WithHeartbeat) {
-  // Peers judge this daemon's rows by its flags, so both go out together.
+  // Peers interpret this daemon's rows by its flags, so a change of flags is
+  // sent along with the rows.
   WithHeartbeat |= this->ownFlags() != this->SentFlags;
   std::optional<wire::Heartbeat> Own;
   if (WithHeartbeat)
     Own = this->ownHeartbeat();
-  for (const LinkRef &Row : this->openLinks()) {
+  for (const LinkRef &PeerLink : this->openLinks()) {
     std::uint64_t UpTo = this->Tables.Changes.load();
-    wire::GossipT News = this->gossipFor(*Row, Now);
+    wire::GossipT News = this->gossipFor(*PeerLink, Now);
     if (Own)
       News.heartbeats.push_back(*Own);
-    if (Row->Centre == this->Tables.Self.DataCentre)
+    if (PeerLink->Centre == this->Tables.Self.DataCentre)
       this->Tables.Vms.read([&](const VmTable &Vms) {
         for (const auto &[Vm, Entry] : Vms.leavingNotices())
-          if (Entry.Mark.Count > Row->SentUpTo && Entry.Mark.Link != Row->Id) {
+          if (Entry.Mark.Count > PeerLink->SentUpTo &&
+              Entry.Mark.Link != PeerLink->Id) {
             auto Out = std::make_unique<wire::LeavingRowT>();
             Out->vm = Vm.Text;
             Out->until_ms = Entry.Until.Value;
             News.leaving.push_back(std::move(Out));
           }
       });
-    Row->SentUpTo = UpTo;
+    PeerLink->SentUpTo = UpTo;
     bool Empty = News.heartbeats.empty() && News.peers.empty() &&
                  News.health.empty() && News.leaving.empty();
     if (!Empty)
-      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
-                                 std::move(News)));
+      this->send(*PeerLink,
+                 makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                           std::move(News)));
   }
 }
 
@@ -228,28 +231,29 @@
   }
 }
 
-/// Larger data centres need more hops, so silence has to last longer before it
-/// says anything.
+/// Adapts the heartbeat interval and the liveness timeout to the number of
+/// daemons. Gossip needs more hops in larger data centres, so the timeout
+/// grows.
 void PeerExchange::updateTimeouts(TimePoint Now) {
-  std::size_t Here = this->Tables.controllers(Now).size();
-  long Hops = Here <= SmallDataCentreSize
+  std::size_t LocalCount = this->Tables.controllers(Now).size();
+  long Hops = LocalCount <= SmallDataCentreSize
                   ? 0
-                  : std::lround(std::sqrt(static_cast<double>(Here)));
-  // Many heartbeats a second would cost more than they tell.
-  Millis Config = this->Tables.Config.HeartbeatInterval;
-  Millis Every = std::max(
-      Config, static_cast<std::int64_t>(this->Tables.members(Now).size()) *
-                  HeartbeatIntervalPerMember);
-  this->EffectiveHeartbeatInterval = Every;
+                  : std::lround(std::sqrt(static_cast<double>(LocalCount)));
+  // Bounds the rate of heartbeats of all daemons together.
+  Millis Configured = this->Tables.Config.HeartbeatInterval;
+  Millis Interval = std::max(
+      Configured, static_cast<std::int64_t>(this->Tables.members(Now).size()) *
+                      HeartbeatIntervalPerMember);
+  this->EffectiveHeartbeatInterval = Interval;
   Millis LivenessTimeout =
-      std::max(Millis(600), LivenessHeartbeats * Every + Hops * Config);
+      std::max(Millis(600), LivenessHeartbeats * Interval + Hops * Configured);
   this->Tables.Peers.write(
       [&](PeerTable &Rows) { Rows.LivenessTimeout = LivenessTimeout; });
 }
 
 void PeerExchange::tick(TimePoint Now) {
   ++this->Rounds;
-  // 1. Who fell silent?
+  // 1. Detect lost daemons.
   this->updateTimeouts(Now);
   std::vector<NodeHash> Lost = this->Tables.Peers.write(
       [&](PeerTable &Rows) { return Rows.sweep(Now); });
@@ -260,47 +264,52 @@
     });
     this->Tables.Log.emit(EventCode::PeerLost, Name);
   }
-  // 2. Speak.
+  // 2. Send changes and, if due, a heartbeat.
   bool Due =
       Now - this->LastHeartbeat >= this->EffectiveHeartbeatInterval.load();
   if (Due)
     this->LastHeartbeat = Now;
   this->flush(Now, Due);
-  // 3. Links and records.
+  // 3. Update links, and request records.
   this->updateLinks(Now);
   this->requestRecords(Now);
   this->requestVms();
   this->removeStaleHealth();
   std::lock_guard Lock(this->Mutex);
-  std::erase_if(this->Links, [](const LinkRef &Row) { return !Row->Open; });
+  std::erase_if(this->Links,
+                [](const LinkRef &PeerLink) { return !PeerLink->Open; });
 }
 
+/// Removes the health of groups that no longer exist.
 void PeerExchange::removeStaleHealth() {
-  std::vector<Fence> Gone;
+  std::vector<Fence> Removed;
   this->Tables.State.read([&](const FoldState &State) {
     this->Tables.Health.read([&](const HealthTable &Rows) {
-      // News of a group may come before the group's own record.
+      // The health of a group may arrive before the record that forms it.
       for (const auto &[Id, Row] : Rows.rows())
         if (Id.Value <= State.next().Value && !State.group(Id))
-          Gone.push_back(Id);
+          Removed.push_back(Id);
     });
   });
-  if (!Gone.empty())
+  if (!Removed.empty())
     this->Tables.Health.write([&](HealthTable &Rows) {
-      for (Fence Id : Gone)
+      for (Fence Id : Removed)
         Rows.remove(Id);
     });
 }
 
+/// Opens the links selected by chooseLinks(), and closes those no longer
+/// needed.
 void PeerExchange::updateLinks(TimePoint Now) {
   std::vector<LinkRef> Open = this->openLinks();
   std::vector<NodeHash> Wanted =
       chooseLinks(this->Tables.Self.Hash, this->Tables.members(Now));
   auto Linked = [&](NodeHash Node) {
-    return std::any_of(Open.begin(), Open.end(),
-                       [&](const LinkRef &Row) { return Row->Other == Node; });
+    return std::any_of(Open.begin(), Open.end(), [&](const LinkRef &PeerLink) {
+      return PeerLink->Other == Node;
+    });
   };
-  // 1. Links that choice asks for.
+  // 1. Find selected peers without a link.
   std::vector<Endpoint> Targets;
   std::vector<Endpoint> Known;
   this->Tables.Peers.read([&](const PeerTable &Rows) {
@@ -313,14 +322,15 @@
         Targets.push_back(Where);
     }
   });
-  // 2. One seed a round that is not among the live: a cut may have healed.
+  // 2. Add one seed that is not known to be alive: a network partition may have
+  // ended.
   const auto &Seeds = this->Tables.Config.Peers;
   if (!Seeds.empty() && (Open.empty() || this->Rounds % 4 == 0))
     for (std::size_t I = 0; I < Seeds.size(); ++I) {
       const Endpoint &Seed = Seeds[this->NextSeed++ % Seeds.size()];
       bool IsKnown =
-          std::any_of(Known.begin(), Known.end(), [&](const Endpoint &Row) {
-            return Row.text() == Seed.text();
+          std::any_of(Known.begin(), Known.end(), [&](const Endpoint &Where) {
+            return Where.text() == Seed.text();
           });
       if (IsKnown || Seed.text() == this->Tables.Config.PeerListen.text())
         continue;
@@ -330,15 +340,17 @@
   for (const Endpoint &Where : Targets)
     if (this->Dialing < static_cast<int>(MaxConcurrentDials))
       this->dial(Where);
-  // 3. Links that this daemon opened and no longer wants.
-  for (const LinkRef &Row : Open)
-    if (Row->Dialed && Now - Row->Since > UnwantedLinkTimeout &&
-        std::find(Wanted.begin(), Wanted.end(), Row->Other) == Wanted.end()) {
-      Row->Open = false;
-      Row->Socket->shutdown();
+  // 3. Close links that this daemon opened and no longer needs.
+  for (const LinkRef &PeerLink : Open)
+    if (PeerLink->Dialed && Now - PeerLink->Since > UnwantedLinkTimeout &&
+        std::find(Wanted.begin(), Wanted.end(), PeerLink->Other) ==
+            Wanted.end()) {
+      PeerLink->Open = false;
+      PeerLink->Socket->shutdown();
     }
 }
 
+/// Connects to a peer and runs the link on a thread of its own.
 void PeerExchange::dial(const Endpoint &Where) {
   ++this->Dialing;
   std::lock_guard Lock(this->Mutex);
@@ -346,78 +358,83 @@
   std::jthread Thread([this, Where, Done] {
     auto Socket = FrameSocket::dial(Where.Host, Where.Port,
                                     this->Tables.Config.ConnectTimeout);
-    LinkRef Row;
+    LinkRef PeerLink;
     if (Socket.ok() && !this->Closing) {
-      Row = std::make_shared<Link>();
-      Row->Id = this->NextLink++;
-      Row->Dialed = true;
-      Row->Socket =
+      PeerLink = std::make_shared<Link>();
+      PeerLink->Id = this->NextLink++;
+      PeerLink->Dialed = true;
+      PeerLink->Socket =
           std::make_unique<FrameSocket>(*Socket, this->Tables.Counters);
-      // The first frame says who dials; the answer, who was found.
+      // Each end sends its own row first.
       wire::GossipT Hello;
       Hello.peers.push_back(std::make_unique<wire::PeerRowT>(this->ownRow()));
-      this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
-                                 std::move(Hello)));
+      this->send(*PeerLink,
+                 makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                           std::move(Hello)));
     }
     --this->Dialing;
-    if (Row)
-      this->runLink(Row);
+    if (PeerLink)
+      this->runLink(PeerLink);
     *Done = true;
   });
-  // Only threads that ended are joined here, so this does not block.
+  // Joins only threads that have ended, so this does not block.
   std::erase_if(this->Dialers,
                 [](const Dialer &Row) { return Row.Done->load(); });
   this->Dialers.push_back({std::move(Done), std::move(Thread)});
 }
 
 void PeerExchange::serveConnection(const Poco::Net::StreamSocket &Socket) {
-  auto Row = std::make_shared<Link>();
-  Row->Id = this->NextLink++;
-  Row->Socket = std::make_unique<FrameSocket>(Socket, this->Tables.Counters);
-  absl::StatusOr<wire::FrameT> First = Row->Socket->receive(FirstFrameTimeout);
+  auto PeerLink = std::make_shared<Link>();
+  PeerLink->Id = this->NextLink++;
+  PeerLink->Socket =
+      std::make_unique<FrameSocket>(Socket, this->Tables.Counters);
+  absl::StatusOr<wire::FrameT> First =
+      PeerLink->Socket->receive(FirstFrameTimeout);
   if (!First.ok() || this->Closing)
     return;
   this->Tables.Clock.merge(First->clock);
-  if (const auto *Asked = First->message.AsForward()) {
-    this->OnForward(*Row->Socket, *Asked);
+  if (const auto *Request = First->message.AsForward()) {
+    this->OnForward(*PeerLink->Socket, *Request);
     return;
   }
   const auto *Hello = First->message.AsGossip();
   if (!Hello || Hello->peers.empty() || this->linkCount() >= MaxLinks)
     return;
-  wire::GossipT Answer;
-  Answer.peers.push_back(std::make_unique<wire::PeerRowT>(this->ownRow()));
-  this->send(*Row, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
-                             std::move(Answer)));
-  this->receiveGossip(*Row, *Hello);
-  this->runLink(Row);
+  wire::GossipT Response;
+  Response.peers.push_back(std::make_unique<wire::PeerRowT>(this->ownRow()));
+  this->send(*PeerLink, makeFrame(this->Tables.Clock.tick(SystemClock{}.wall()),
+                                  std::move(Response)));
+  this->receiveGossip(*PeerLink, *Hello);
+  this->runLink(PeerLink);
 }
 
-void PeerExchange::runLink(const LinkRef &Row) {
-  Row->Since = SystemClock{}.now();
-  bool Listed = false;
-  while (Row->Open && !this->Closing) {
-    if (!Listed && Row->Other != NodeHash()) {
+/// Receives frames until the link closes.
+void PeerExchange::runLink(const LinkRef &PeerLink) {
+  PeerLink->Since = SystemClock{}.now();
+  bool Added = false;
+  while (PeerLink->Open && !this->Closing) {
+    if (!Added && PeerLink->Other != NodeHash()) {
       std::lock_guard Lock(this->Mutex);
-      this->Links.push_back(Row);
-      Listed = true;
+      this->Links.push_back(PeerLink);
+      Added = true;
       this->Tables.GossipRequested.set();
     }
-    absl::StatusOr<wire::FrameT> Frame = Row->Socket->receive(LinkIdleTimeout);
+    absl::StatusOr<wire::FrameT> Frame =
+        PeerLink->Socket->receive(LinkIdleTimeout);
     if (!Frame.ok())
       break;
     this->Tables.Clock.merge(Frame->clock);
     if (const auto *News = Frame->message.AsGossip())
-      this->receiveGossip(*Row, *News);
-    else if (const auto *Asked = Frame->message.AsRecordsWanted())
-      this->sendRecords(*Row, *Asked);
+      this->receiveGossip(*PeerLink, *News);
+    else if (const auto *Request = Frame->message.AsRecordsWanted())
+      this->sendRecords(*PeerLink, *Request);
     else if (const auto *Records = Frame->message.AsRecords())
       this->receiveRecords(*Records);
     else
       break;
   }
-  Row->Open = false;
-  Row->Socket->shutdown();
+  PeerLink->Open = false;
+  PeerLink->Socket->shutdown();
 }
 
 void PeerExchange::receiveGossip(Link &From, const wire::GossipT &News) {
@@ -427,7 +444,7 @@
   };
   bool Urgent = false;
   std::vector<std::string> Joined;
-  // 1. The first row of the first frame is the other end's own.
+  // 1. The first row of the first frame describes the other end.
   if (From.Other == NodeHash() && !News.peers.empty()) {
     From.Other = hashNode(NodeId(News.peers[0]->node),
                           IncarnationId(News.peers[0]->incarnation));
@@ -438,11 +455,11 @@
   {
     std::lock_guard Lock(From.Mutex);
     for (const auto &Beat : News.heartbeats) {
-      std::uint64_t &Has = From.Has[NodeHash(Beat.node())];
-      Has = std::max<std::uint64_t>(Has, Beat.sequence());
+      std::uint64_t &Known = From.KnownSequences[NodeHash(Beat.node())];
+      Known = std::max<std::uint64_t>(Known, Beat.sequence());
     }
   }
-  // 2. Health and leaving VMs, which others should hear of at once.
+  // 2. Health and leaving VMs, which are passed on at once.
   this->Tables.Vms.write([&](VmTable &Vms) {
     for (const auto &Row : News.leaving)
       Urgent |= Vms.recordLeaving(VmId(Row->vm), WallMs(Row->until_ms), Mark());
@@ -452,7 +469,7 @@
       Urgent |= Rows.put(Fence(Row->fence), {Row->version, NodeHash(Row->owner),
                                              Row->ready, Mark()});
   });
-  // 3. Daemons.
+  // 3. Daemons and their heartbeats.
   this->Tables.Peers.write([&](PeerTable &Rows) {
     for (const auto &Row : News.peers) {
       NodeHash Node =
--- a/src/control/peers.h
+++ b/src/control/peers.h
@@ -14,14 +14,15 @@
 
 namespace waycove {
 
-/// Handles a connection whose first frame asks for a request to be served.
+/// Handles a connection on which a peer forwards a request.
 using ForwardHandler =
     std::function<void(FrameSocket &, const wire::ForwardT &)>;
 
-/// Membership and news between daemons, over a bounded number of links: each
-/// link is sent the rows that changed since it was last sent any. Records of
-/// the log are passed on to daemons that cannot read it. Nothing here decides
-/// anything that must be unique; it only says who seems to be there.
+/// Exchanges membership and health between daemons by gossip, over a bounded
+/// number of links. Each link gets the rows that changed since the previous
+/// message on it. Also sends records of the log to daemons that cannot read it.
+/// The result is a best guess of which daemons are alive; nothing that must be
+/// unique is decided here.
 class PeerExchange {
 public:
   PeerExchange(Board &Tables, RecordFolder &Fold, ForwardHandler OnForward);
@@ -31,30 +32,36 @@
 
   /// Listens for peers; throws Poco::Exception where the port is taken.
   void start();
-  /// One round: heartbeat, deltas, links, records. The controller's loop calls
-  /// it each heartbeat period, and flush() in between where news is urgent.
+  /// Runs one round: heartbeat, changes, links, records. The controller's loop
+  /// calls it every heartbeat interval, and flush() in between for urgent
+  /// changes.
   void tick(TimePoint Now);
-  /// Sends all links what changed.
+  /// Sends pending changes on all links.
   void flush(TimePoint Now, bool WithHeartbeat);
   std::size_t linkCount() const;
 
-  /// Called by the listener with each new connection.
+  /// Serves a new connection of the listener until it closes.
   void serveConnection(const Poco::Net::StreamSocket &Socket);
 
 private:
+  /// Connection to another daemon.
   struct Link {
     std::uint64_t Id = 0;
     std::unique_ptr<FrameSocket> Socket;
     NodeHash Other;
     DataCentreId Centre;
+    /// Opened by this daemon.
     bool Dialed = false;
     TimePoint Since;
     std::atomic<bool> Open{true};
+    /// Count of the newest change that was sent.
     std::uint64_t SentUpTo = 0;
+    /// When records were last requested.
     TimePoint RequestedAt;
-    /// Newest heartbeat of each daemon that the other end is known to have.
+    /// Guards KnownSequences.
     std::mutex Mutex;
-    std::unordered_map<NodeHash, std::uint64_t> Has;
+    /// Newest heartbeat of each daemon that the other end is known to have.
+    std::unordered_map<NodeHash, std::uint64_t> KnownSequences;
   };
   using LinkRef = std::shared_ptr<Link>;
 
@@ -66,10 +73,10 @@
   void updateTimeouts(TimePoint Now);
   void updateLinks(TimePoint Now);
   void dial(const Endpoint &Where);
-  void runLink(const LinkRef &Row);
+  void runLink(const LinkRef &PeerLink);
   void receiveGossip(Link &From, const wire::GossipT &News);
   void receiveRecords(const wire::RecordsT &Rows);
-  void sendRecords(Link &To, const wire::RecordsWantedT &Asked);
+  void sendRecords(Link &To, const wire::RecordsWantedT &Request);
   std::vector<std::unique_ptr<wire::VmRowT>> vmRows(std::uint64_t &Version);
   void receiveVms(const wire::RecordsT &Rows);
   void requestVms();
--- a/src/control/record_folder.cpp
+++ b/src/control/record_folder.cpp
@@ -8,8 +8,8 @@
 
 void PendingRecord::resolve(const FoldOutcome &Result) {
   std::lock_guard Lock(this->Mutex);
-  // The same record may stand in the log twice, after a lost acknowledgement:
-  // the first decides.
+  // The log may contain the record twice, after a lost acknowledgement; the
+  // first copy decides.
   if (!this->Outcome)
     this->Outcome = Result;
   this->Changed.notify_all();
@@ -23,7 +23,7 @@
 }
 
 std::size_t RecordFolder::apply(const std::vector<LogRecord> &Records) {
-  std::size_t Taken = 0;
+  std::size_t Applied = 0;
   for (const LogRecord &Record : Records) {
     std::optional<FoldOutcome> Outcome =
         this->Tables.State.write([&](FoldState &State) {
@@ -35,7 +35,7 @@
         });
     if (!Outcome)
       continue;
-    ++Taken;
+    ++Applied;
     if (Outcome->TouchesRouting)
       this->Tables.RoutingVersion.fetch_add(1);
     this->Tables.Counters.add(Outcome->Accepted ? Counter::RecordsFolded
@@ -46,7 +46,7 @@
                             std::to_string(Record.At.Value), Outcome->Reason);
     this->resolve(*Outcome);
   }
-  return Taken;
+  return Applied;
 }
 
 absl::Status RecordFolder::applyCheckpoint(const std::string &Bytes,
@@ -77,7 +77,8 @@
   this->Tables.RoutingVersion.fetch_add(1);
 }
 
-/// Keeps \p Old where the log is of a later era by now.
+/// If the log has entered a later era, keeps \p Old and stops serving until the
+/// lost records have been appended again.
 void RecordFolder::keepIfRestored(FoldState Old, Offset Now) {
   if (Old.next() == Offset() || eraOf(Now) <= eraOf(Old.next()))
     return;
@@ -105,10 +106,10 @@
 
 std::shared_ptr<PendingRecord>
 RecordFolder::expect(const std::string &RecordId) {
-  auto Row = std::make_shared<PendingRecord>();
+  auto Pending = std::make_shared<PendingRecord>();
   std::lock_guard Lock(this->Mutex);
-  this->PendingRecords[RecordId] = Row;
-  return Row;
+  this->PendingRecords[RecordId] = Pending;
+  return Pending;
 }
 
 void RecordFolder::forget(const std::string &RecordId) {
@@ -122,15 +123,15 @@
 }
 
 void RecordFolder::resolve(const FoldOutcome &Outcome) {
-  std::shared_ptr<PendingRecord> Row;
+  std::shared_ptr<PendingRecord> Pending;
   {
     std::lock_guard Lock(this->Mutex);
     auto At = this->PendingRecords.find(Outcome.RecordId);
     if (At == this->PendingRecords.end())
       return;
-    Row = At->second;
+    Pending = At->second;
   }
-  Row->resolve(Outcome);
+  Pending->resolve(Outcome);
 }
 
 } // namespace waycove
--- a/src/control/record_folder.h
+++ b/src/control/record_folder.h
@@ -11,10 +11,12 @@
 
 namespace waycove {
 
-/// One record whose outcome somebody waits for.
+/// Outcome of a record, for a thread that waits for it.
 class PendingRecord {
 public:
+  /// Sets the outcome and wakes the waiting thread.
   void resolve(const FoldOutcome &Outcome);
+  /// Waits for the outcome; empty if there is none by \p Until.
   std::optional<FoldOutcome> wait(TimePoint Until);
 
 private:
@@ -23,32 +25,36 @@
   std::optional<FoldOutcome> Outcome;
 };
 
-/// Takes records into the folded state, from wherever they come, and tells
-/// those who wait for one of them. A record is taken only when it is the next
-/// one, so the state never goes back and never skips. Where the log came back
-/// from an older copy, the state is folded anew from that, as on each daemon
-/// that starts; what was known before is kept for writing it again, and the
-/// daemon takes no requests meanwhile. Thread-safe.
+/// Applies records from the log or from peers to the folded state, and wakes
+/// threads that wait for their outcome. Only the record at the next offset is
+/// applied, so the state neither goes back nor skips a record. After the log
+/// was restored from an older copy, the state is folded anew from that copy.
+/// The previous state is kept so that lost records can be appended again, and
+/// the daemon serves no requests in the meantime. Thread-safe.
 class RecordFolder {
 public:
   explicit RecordFolder(Board &Tables) : Tables(Tables) {}
 
-  /// Takes in what of \p Records comes next; returns how many were.
+  /// Applies those of \p Records that come next; returns their number.
   std::size_t apply(const std::vector<LogRecord> &Records);
-  /// Takes in a checkpoint, if it is ahead; one from the log, in the era of
-  /// that.
+  /// Loads a checkpoint if it is ahead of the state. \p Era is the log's era
+  /// for a checkpoint read from the log.
   absl::Status applyCheckpoint(const std::string &Bytes,
                                StoreEra Era = StoreEra());
-  /// The log came back from an older copy, of which \p First is the first
-  /// record that it holds.
+  /// Starts with an empty state after the log was restored from an older copy;
+  /// \p First is the offset of the oldest record that it has.
   void restart(Offset First);
-  /// What was known before the newest restart, once.
+  /// Returns the state from before the newest restore, and discards it.
   std::optional<FoldState> takeStateBeforeRestore();
+  /// Offset of the next record to apply.
   Offset next() const;
 
-  /// To be called before the record is appended.
+  /// Registers a record whose outcome is needed; must be called before the
+  /// record is appended.
   std::shared_ptr<PendingRecord> expect(const std::string &RecordId);
+  /// Removes a record registered by expect().
   void forget(const std::string &RecordId);
+  /// Returns true if a thread waits for the outcome of a record.
   bool hasPending() const;
 
 private:
--- a/src/control/submitter.h
+++ b/src/control/submitter.h
@@ -11,19 +11,20 @@
 
 namespace waycove {
 
-/// Pause between tries to append the same record.
+/// Interval between attempts to append the same record.
 constexpr Millis AppendRetryInterval(100);
 
-/// Appends records and waits until the fold has passed them. A record keeps
-/// its id over all tries, so an append whose answer was lost is settled by
-/// what the fold says, and a second copy of it changes nothing.
+/// Appends records to the log and waits until they are folded. A record keeps
+/// its id over all attempts: if the response to an append was lost, the fold
+/// shows whether it succeeded, and a second copy has no effect.
 template <LogService Service> class Submitter {
 public:
   Submitter(Board &Tables, RecordFolder &Fold, Service &Platform)
       : Tables(Tables), Fold(Fold), Platform(Platform) {}
 
-  /// Errors: LogUnavailable where the record is certainly not in the log;
-  /// OutcomeUnknown where it may yet come into force.
+  /// Appends a record with \p Body and returns its outcome. Errors:
+  /// LogUnavailable if the record is certainly not in the log, OutcomeUnknown
+  /// if it may still take effect.
   template <typename Change>
   absl::StatusOr<FoldOutcome> submit(Change Body, TimePoint Until) {
     wire::RecordT Record;
@@ -43,23 +44,23 @@
   absl::StatusOr<FoldOutcome> appendAndWait(const std::string &Bytes,
                                             PendingRecord &Pending,
                                             TimePoint Until) {
-    bool MayBeIn = false;
+    bool MayBeInLog = false;
     while (true) {
-      // 1. Append, unless an earlier try's outcome has come meanwhile.
+      // 1. Append.
       absl::StatusOr<Offset> At =
           this->Platform.append(LogStream::Records, Bytes);
       this->Tables.Counters.add(Counter::AppendsSent);
-      MayBeIn |= At.ok() || kindOf(At.status()) == ErrorKind::OutcomeUnknown;
-      // 2. Wait for the fold to pass it; briefly, if it may not be there.
+      MayBeInLog |= At.ok() || kindOf(At.status()) == ErrorKind::OutcomeUnknown;
+      // 2. Wait until it is folded; only briefly if the append failed.
       TimePoint Now = SystemClock{}.now();
-      TimePoint Pause =
+      TimePoint WaitUntil =
           At.ok() ? Until : std::min(Until, Now + AppendRetryInterval);
-      if (auto Outcome = Pending.wait(Pause))
+      if (auto Outcome = Pending.wait(WaitUntil))
         return *Outcome;
       if (SystemClock{}.now() >= Until)
         break;
     }
-    if (MayBeIn)
+    if (MayBeInLog)
       return makeError(ErrorKind::OutcomeUnknown,
                        "the record was sent to the log, which did not confirm "
                        "it in time");
--- a/src/control/views.cpp
+++ b/src/control/views.cpp
@@ -14,17 +14,16 @@
   View->SlotsPerReplica = Spec->SlotsPerReplica;
   View->VmsPerReplica = Spec->VmsPerReplica;
   View->KvTokensPerReplica = Spec->KvTokensPerReplica;
-  std::optional<Selector> Own = State.resolve(Spec->Match, Spec->Selectors);
-  View->Resolved = Own.has_value();
+  std::optional<Selector> Allowed = State.resolve(Spec->Match, Spec->Selectors);
+  View->Resolved = Allowed.has_value();
   View->Workspaces = Spec->Workspaces;
-  if (!Own)
+  if (!Allowed)
     return View;
   for (const auto &[Id, Formed] : State.groups()) {
     if (Formed.Place.Deployment.Text != Row.Key.Name ||
         Formed.Place.DataCentre != this->Tables.Self.DataCentre)
       continue;
-    // A replica that is no longer asked for gets no new work, and is dissolved
-    // once it is idle.
+    // A surplus replica gets no new requests and is dissolved once it is idle.
     if (Formed.Place.Index.Value >=
         Spec->replicasIn(this->Tables.Self.DataCentre))
       continue;
@@ -32,19 +31,18 @@
     Target.Group = Id;
     Target.Head = Formed.Vms.front();
     Target.Members = Formed.Vms;
-    // A drained member takes the group out of routing, and so does one that
-    // the list does not know, for it has no labels that anything allows.
-    bool Whole = true;
+    // A group is not routed to while a member drains or is not listed: without
+    // its labels, no selector can allow it.
+    bool Routable = true;
     for (const VmId &Vm : Formed.Vms) {
       const VmInfo *Info = Vms.find(Vm);
-      Labels Joined = Info ? effectiveLabels(*Info, State) : Labels();
-      Whole = Whole && Info && !Drains.covers(Vm, Joined);
+      Labels VmLabels = Info ? effectiveLabels(*Info, State) : Labels();
+      Routable = Routable && Info && !Drains.covers(Vm, VmLabels);
       if (Info && Vm == Target.Head)
         Target.Address = Info->Address;
-      // Members of one domain are mostly labelled alike.
-      Target.addLabels(std::move(Joined));
+      Target.addLabels(std::move(VmLabels));
     }
-    if (Whole && Target.allows(*Own))
+    if (Routable && Target.allows(*Allowed))
       View->Targets.push_back(std::move(Target));
   }
   View->makeRing();
@@ -57,20 +55,20 @@
                                       const Object &Row) const {
   const auto *Spec = Row.as<Service>();
   auto View = std::make_shared<RouteView>();
-  std::optional<Selector> Own = State.resolve(Spec->Match, Spec->Selectors);
-  View->Resolved = Own.has_value();
+  std::optional<Selector> Allowed = State.resolve(Spec->Match, Spec->Selectors);
+  View->Resolved = Allowed.has_value();
   View->Workspaces = Spec->Workspaces;
-  if (!Own)
+  if (!Allowed)
     return View;
   for (const auto &[Vm, Info] : Vms.rows()) {
-    Labels Joined = effectiveLabels(Info, State);
-    if (!Own->matches(Joined) || Drains.covers(Vm, Joined))
+    Labels VmLabels = effectiveLabels(Info, State);
+    if (!Allowed->matches(VmLabels) || Drains.covers(Vm, VmLabels))
       continue;
     RouteTarget Target;
     Target.Head = Vm;
     Target.Address = Info.Address;
     Target.Members = {Vm};
-    Target.MemberLabels = {std::move(Joined)};
+    Target.MemberLabels = {std::move(VmLabels)};
     View->Targets.push_back(std::move(Target));
   }
   View->makeRing();
@@ -82,20 +80,20 @@
   if (Version == this->LastVersion)
     return false;
   this->LastVersion = Version;
-  ViewTable Fresh;
+  ViewTable NewViews;
   this->Tables.State.read([&](const FoldState &State) {
     DrainSet Drains(State);
     this->Tables.Vms.read([&](const VmTable &Vms) {
       for (const auto &[Key, Row] : State.objects()) {
         if (Key.Kind == ObjectKind::Deployment)
-          Fresh.Rows[Key] = this->buildGroupView(State, Vms, Drains, *Row);
+          NewViews.Rows[Key] = this->buildGroupView(State, Vms, Drains, *Row);
         if (Key.Kind == ObjectKind::Service)
-          Fresh.Rows[Key] = this->buildServiceView(State, Vms, Drains, *Row);
+          NewViews.Rows[Key] = this->buildServiceView(State, Vms, Drains, *Row);
       }
     });
   });
   this->Tables.Views.write(
-      [&](ViewTable &Views) { Views.Rows.swap(Fresh.Rows); });
+      [&](ViewTable &Views) { Views.Rows.swap(NewViews.Rows); });
   return true;
 }
 
--- a/src/control/views.h
+++ b/src/control/views.h
@@ -8,12 +8,12 @@
 
 namespace waycove {
 
-/// Makes the route views of all deployments and services anew from state and
-/// VM list, if anything changed since the last time.
+/// Rebuilds the route views of all deployments and services from the folded
+/// state and the VM list whenever these have changed.
 class ViewBuilder {
 public:
   explicit ViewBuilder(Board &Tables) : Tables(Tables) {}
-  /// Returns true if views were made.
+  /// Returns true if the views were rebuilt.
   bool refresh();
 
 private:
@@ -23,6 +23,7 @@
                            const DrainSet &Drains, const Object &Row) const;
 
   Board &Tables;
+  /// RoutingVersion of the newest rebuild.
   std::uint64_t LastVersion = 0;
 };
 
--- a/src/control/vm_list.h
+++ b/src/control/vm_list.h
@@ -11,16 +11,17 @@
 
 namespace waycove {
 
-/// Changes of the VM list since a version, which holds the era as offsets do.
+/// Changes of the VM list since a version. Like offsets of the log, a version
+/// includes the era.
 struct VmPage {
   std::uint64_t Version = 0;
-  /// The answer holds all VMs, not only changes.
+  /// The page has all VMs, not only changes.
   bool Whole = false;
   std::vector<VmInfo> Vms;
   std::vector<VmId> Removed;
 };
 
-/// The platform's lagging list of VMs.
+/// The platform's list of VMs; it may be out of date.
 template <typename T>
 concept VmList = requires(T &L, const DataCentreId &Centre,
                           std::uint64_t Since) {
--- a/src/control/vm_list_follower.h
+++ b/src/control/vm_list_follower.h
@@ -9,25 +9,26 @@
 
 namespace waycove {
 
-/// Follows the platform's list of this data centre's VMs, and tells peers of
-/// VMs that leave.
+/// Keeps the VM table up to date with the platform's list of the VMs in this
+/// data centre, and reports leaving VMs to peers.
 template <VmList List> class VmListFollower {
 public:
   VmListFollower(Board &Tables, List &Platform)
       : Tables(Tables), Platform(Platform) {}
 
-  /// One question to the list. False where it did not answer.
+  /// Queries the list once. Returns false if there was no response.
   bool step() {
     std::uint64_t Since =
         this->Tables.Vms.read([](const VmTable &Vms) { return Vms.Version; });
     absl::StatusOr<VmPage> Page =
         this->Platform.list(this->Tables.Self.DataCentre, Since);
-    // After a restore, what changed since a version of before says nothing.
+    // After a restore, changes since a version of an earlier era are useless:
+    // get the whole list.
     if (Page.ok() && eraOf(Page->Version) > eraOf(Since) && !Page->Whole)
       Page = this->Platform.list(this->Tables.Self.DataCentre, 0);
     if (!Page.ok())
       return false;
-    // The list lags, and may come from a replica that lags more.
+    // A response from a replica that is further behind is ignored.
     if (Page->Version < Since)
       return true;
     this->apply(*Page);
