--- a/src/control/member_reports.cpp
+++ b/src/control/member_reports.cpp
@@ -85,7 +85,7 @@
     return false;
   TimePoint Since = Row->HasReport ? std::max(Row->ReportedAt, Row->PolledSince)
                                    : Row->PolledSince;
-  return Now - Since > this->Config.MemberDeadAfter;
+  return Now - Since > this->Config.MemberTimeout;
 }
 
 void MemberReports::invalidate(TimePoint Now) {
--- a/src/control/member_reports.h
+++ b/src/control/member_reports.h
@@ -48,7 +48,7 @@
   /// A group is ready if the recent report of every member says that it has
   /// loaded the model under the fence of this group.
   GroupReadiness checkReadiness(const Group &Formed, TimePoint Now) const;
-  /// Returns true if \p Vm was polled for MemberDeadAfter without a response.
+  /// Returns true if \p Vm was polled for MemberTimeout without a response.
   bool isDead(const VmId &Vm, TimePoint Now) const;
   /// Discards all reports; called after a suspension of this process.
   void invalidate(TimePoint Now);
