--- a/tests/standins/store.h
+++ b/tests/standins/store.h
@@ -72,8 +72,8 @@
     return {200, dumpJson(Out)};
   }
 
-  /// Appends one keyed record: record length (4 bytes), key length (1 byte), key
-  /// and value.
+  /// Appends one keyed record: record length (4 bytes), key length (1 byte),
+  /// key and value.
   StoreAnswer append(Query &Asked, const std::string &Body) {
     constexpr std::size_t HeadBytes = 5;
     if (Body.size() < HeadBytes)
--- a/tests/standins/target.cpp
+++ b/tests/standins/target.cpp
@@ -184,8 +184,8 @@
     reply(Response, "{}");
   }
 
-  /// Returns the number of reachable members, which a real engine detects in its
-  /// collective operations. Cached for 10 ms.
+  /// Returns the number of reachable members, which a real engine detects in
+  /// its collective operations. Cached for 10 ms.
   std::uint64_t present(std::uint64_t Members) {
     std::lock_guard Lock(this->Me.Mutex);
     if (SteadyClock::now() - this->Me.PresentAt < std::chrono::milliseconds(10))
