--- /dev/null
+++ b/src/control/node_follower.h
@@ -0,0 +1,212 @@
+// waycove: serving models that span several VMs.
+// Copyright 2026 the waycove authors. Licensed under the Apache License,
+// Version 2.0; see LICENSE.
+
+#pragma once
+
+#include "board/entry_board.h"
+#include "control/keyed_feed.h"
+#include "wire/news_frames.h"
+
+#include <algorithm>
+#include <set>
+
+namespace waycove {
+
+/// Announces this node in the platform's directory and follows the
+/// announcements of others. A node that is killed stays listed until it
+/// restarts, and is then not announced again; nodes that query it notice. Used
+/// by one thread.
+template <KeyedFeed Feed, NodeDirectory Directory> class NodeFollower {
+public:
+  NodeFollower(EntryBoard &Board, Feed &Source, Directory &Announcements)
+      : Board(Board), Source(Source), Announcements(Announcements) {}
+
+  /// Reads once; returns the pause before the next step.
+  Millis step() {
+    if (this->Board.Stopping)
+      return this->leave();
+    // When the whole system starts, no node is listed yet.
+    bool KnowsFirst = this->Read || this->Board.Config.Entry->FirstStart;
+    bool Due = !this->Listed || this->hasNewSettledEra() || this->hasNewBlame();
+    if (KnowsFirst && Due && !this->announce())
+      return this->RetryBackoff.next();
+    this->RetryBackoff.reset();
+    if (absl::StatusOr<KeyedPage> Page = this->Source.read(PollTimeout);
+        Page.ok()) {
+      this->apply(*Page);
+      this->Read = true;
+    }
+    return Millis(0);
+  }
+
+private:
+  /// Short enough that a planned stop is noticed, which removes the
+  /// announcement.
+  static constexpr Millis PollTimeout{1000};
+  /// Interval of steps while the process stops.
+  static constexpr Millis StoppingInterval{1000};
+  /// Min interval between two announcements of blamed requests.
+  static constexpr Millis BlameInterval{2000};
+
+  /// Whether this node, on behalf of its data centre, has to announce that the
+  /// configuration from before a restore of the store was written again.
+  /// Without that, nodes that all start after a restore would refuse keys for
+  /// the length of the revocation bound.
+  bool hasNewSettledEra() const {
+    StoreEra Settled = this->Board.self().Settled;
+    return this->Board.FirstOfCentre && Settled > this->SettledEra;
+  }
+
+  /// Whether this node, on behalf of its data centre, has to announce which
+  /// requests are blamed for crashes, so that nodes that all start at once
+  /// know.
+  bool hasNewBlame() const {
+    if (!this->Board.FirstOfCentre ||
+        SystemClock{}.now() - this->AnnouncedAt < BlameInterval)
+      return false;
+    CrashEvidenceMap Blamed = this->currentBlame();
+    return !std::equal(
+        Blamed.begin(), Blamed.end(), this->AnnouncedBlamed.begin(),
+        this->AnnouncedBlamed.end(),
+        [](const auto &A, const auto &B) { return A.first == B.first; });
+  }
+
+  CrashEvidenceMap currentBlame() const {
+    return this->Board.Crashes.read(
+        [](const CrashBlame &Rows) { return Rows.blamedRows(); });
+  }
+
+  bool announce() {
+    NodeInfo Me = this->Board.self();
+    CrashEvidenceMap Blamed = this->currentBlame();
+    this->AnnouncedAt = SystemClock{}.now();
+    this->Board.Counters.Calls.add(StoreUse::Announcement,
+                                   this->IsReachable ? CallCause::Start
+                                                     : CallCause::Retry);
+    absl::Status Put =
+        this->Announcements.put(Me.Node.Text, packNode({Me, Blamed}));
+    this->setReachable(Put.ok(), messageOf(Put));
+    if (Put.ok()) {
+      this->settle(Me.Settled);
+      this->AnnouncedBlamed = std::move(Blamed);
+    }
+    return this->Listed = Put.ok();
+  }
+
+  void settle(StoreEra Era) {
+    this->SettledEra = std::max(this->SettledEra, Era);
+    this->Board.feed(FeedKind::Config).settle(Era, SystemClock{}.now());
+  }
+
+  Millis leave() {
+    if (std::exchange(this->Listed, false))
+      if (absl::Status Put = this->Announcements.put(
+              this->Board.Config.Node.Text, std::string());
+          !Put.ok())
+        this->setReachable(false, messageOf(Put));
+    return StoppingInterval;
+  }
+
+  void setReachable(bool Reachable, const std::string &Reason) {
+    if (std::exchange(this->IsReachable, Reachable) != Reachable)
+      this->Board.Log.emit(Reachable ? EventCode::LogReachable
+                                     : EventCode::LogUnreachable,
+                           "announcement", LogFields().add("reason", Reason));
+  }
+
+  /// Applies a page as a whole, since a part of it would give this node a wrong
+  /// place in the order.
+  void apply(const KeyedPage &Page) {
+    std::vector<NodeInfo> Present;
+    std::set<NodeId> Removed = Page.Whole ? this->listed() : std::set<NodeId>();
+    for (const KeyedRecord &Row : Page.Records) {
+      NodeId Id(Row.Key);
+      Removed.erase(Id);
+      if (!Row.Value) {
+        Removed.insert(Id);
+        continue;
+      }
+      absl::StatusOr<Announcement> Read = unpackNode(*Row.Value);
+      if (Read.ok() && Read->Node.Node == Id) {
+        Present.push_back(std::move(Read->Node));
+        this->applyBlamed(Read->Blamed);
+      } else
+        this->Board.Log.emit(EventCode::RegistryRefused, Row.Key,
+                             LogFields().add("reason", "not an announcement "
+                                                       "of this node"));
+    }
+    for (const NodeInfo &Row : Present)
+      this->settle(Row.Settled);
+    this->updateListed(Page, Present, Removed);
+    this->store(Present, Removed);
+  }
+
+  void applyBlamed(const CrashEvidenceMap &Blamed) {
+    if (!Blamed.empty())
+      this->Board.Crashes.write(
+          [&](CrashBlame &Rows) { Rows.merge(Blamed, SystemClock{}.now()); });
+  }
+
+  std::set<NodeId> listed() const {
+    return this->Board.Nodes.read([](const NodeTable &Rows) {
+      std::set<NodeId> Ids;
+      for (const auto &[Id, Row] : Rows)
+        Ids.insert(Id);
+      return Ids;
+    });
+  }
+
+  void updateListed(const KeyedPage &Page, const std::vector<NodeInfo> &Present,
+                    const std::set<NodeId> &Removed) {
+    // The removal by an earlier incarnation was carried out late, or the store
+    // was restored from a copy older than the announcement: announce again.
+    if (Page.Whole || Removed.contains(this->Board.Config.Node))
+      this->Listed = false;
+    // An earlier incarnation announced the same address.
+    for (const NodeInfo &Row : Present)
+      if (Row.sameAddress(this->Board.self()))
+        this->Listed = true;
+  }
+
+  void store(const std::vector<NodeInfo> &Present,
+             const std::set<NodeId> &Removed) {
+    std::vector<NodeInfo> Joined;
+    std::vector<NodeId> Lost;
+    this->Board.Nodes.write([&](NodeTable &Rows) {
+      for (const NodeId &Id : Removed)
+        if (Rows.erase(Id) > 0)
+          Lost.push_back(Id);
+      for (const NodeInfo &Row : Present) {
+        NodeInfo &Old = Rows[Row.Node];
+        if (Old.Incarnation != Row.Incarnation)
+          Joined.push_back(Row);
+        Old = Row;
+      }
+    });
+    for (const NodeId &Id : Lost)
+      this->Board.Log.emit(EventCode::PeerLost, Id.Text,
+                           LogFields().add("reason", "it left the directory"));
+    for (const NodeInfo &Row : Joined)
+      if (Row.Node != this->Board.Config.Node)
+        this->Board.Log.emit(
+            EventCode::PeerJoined, Row.Node.Text,
+            LogFields().add("incarnation", Row.Incarnation.Text));
+  }
+
+  EntryBoard &Board;
+  FeedCursor<Feed> Source;
+  Directory &Announcements;
+  Backoff RetryBackoff;
+  /// The directory was read once.
+  bool Read = false;
+  bool Listed = false;
+  bool IsReachable = true;
+  /// The newest settled era that some node has announced.
+  StoreEra SettledEra;
+  TimePoint AnnouncedAt;
+  /// Blamed requests in this node's announcement.
+  CrashEvidenceMap AnnouncedBlamed;
+};
+
+} // namespace waycove
--- a/src/control/serving.h
+++ b/src/control/serving_view.h
@@ -8,8 +8,8 @@
 
 namespace waycove {
 
-/// Builds the view of serving targets anew from the tables.
-inline void refreshServing(EntryBoard &Board) {
+/// Rebuilds the view of serving targets from the tables.
+inline void rebuildServingView(EntryBoard &Board) {
   RoutingConfigRef Config =
       Board.Routing.read([](const RoutingConfigRef &Row) { return Row; });
   if (!Config)
@@ -24,7 +24,7 @@
   };
   std::size_t Before = 0;
   bool Changed = Board.Serving.write([&](ServingViewRef &Row) {
-    // Two followers build views; the one of the newer fleet stays.
+    // Two followers build views; the one of the newer fleet is used.
     if (Row->FleetVersion > View->FleetVersion)
       return false;
     Before = CountOf(*Row);
--- a/src/policy/centre_balance.cpp
+++ b/src/policy/centre_balance.cpp
@@ -67,9 +67,9 @@
   for (const auto &[Service, Rows] : View.ByService) {
     std::map<std::string, Tally> Near;
     std::map<std::string, Tally> All;
-    for (const Serving &Row : Rows) {
+    for (const ServingTarget &Row : Rows) {
       const VmLife Target = Row.Target->life();
-      if (Row.Kept || Stats.isSuspect(Target, Now))
+      if (Row.Retained || Stats.isSuspect(Target, Now))
         continue;
       double Requests = inFlight(Target, Stats, Now);
       All[Row.Model].add(Requests);
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -38,12 +38,12 @@
 
 /// The mean of what this node measured of the model's targets; 0 where it
 /// measured none.
-double usualFirstByteMs(const std::vector<Serving> &Rows,
+double usualFirstByteMs(const std::vector<ServingTarget> &Rows,
                         const TargetStatsTable &Stats,
                         const std::string &Model) {
   double Sum = 0;
   int Measured = 0;
-  for (const Serving &Row : Rows) {
+  for (const ServingTarget &Row : Rows) {
     double Ms = Stats.of(Row.Target->life()).FirstByteMs;
     if (Row.Model != Model || Ms == 0)
       continue;
@@ -70,7 +70,7 @@
   return Known;
 }
 
-double expectedWaitMs(const Serving &Row, const TargetStatsTable &Stats,
+double expectedWaitMs(const ServingTarget &Row, const TargetStatsTable &Stats,
                       const ChoiceQuery &Query, double Usual) {
   const VmLife Target = Row.Target->life();
   const TargetStats &Seen = Stats.of(Target);
@@ -85,32 +85,32 @@
 }
 
 /// Whether the target may be leaving, for all that is known.
-bool mayBeLeaving(const Serving &Row, const TargetStatsTable &Stats,
+bool mayBeLeaving(const ServingTarget &Row, const TargetStatsTable &Stats,
                   const ChoiceQuery &Query) {
-  return Row.Kept ||
+  return Row.Retained ||
          (Query.RegistryStale && Stats.of(Row.Target->life()).Closing);
 }
 
 /// Whether a target of the model stays, so that none that may be leaving has
 /// to serve.
-bool anyStays(const std::vector<Serving> &Rows, const TargetStatsTable &Stats,
-              const ChoiceQuery &Query) {
-  return std::any_of(Rows.begin(), Rows.end(), [&](const Serving &Row) {
+bool anyStays(const std::vector<ServingTarget> &Rows,
+              const TargetStatsTable &Stats, const ChoiceQuery &Query) {
+  return std::any_of(Rows.begin(), Rows.end(), [&](const ServingTarget &Row) {
     return Row.Model == Query.Model && !mayBeLeaving(Row, Stats, Query);
   });
 }
 
 } // namespace
 
-const Serving *chooseTarget(const std::vector<Serving> &Rows,
-                            const TargetStatsTable &Stats,
-                            const ChoiceQuery &Query) {
-  const Serving *Best = nullptr;
+const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
+                                  const TargetStatsTable &Stats,
+                                  const ChoiceQuery &Query) {
+  const ServingTarget *Best = nullptr;
   double BestWait = 0;
   double Usual = usualFirstByteMs(Rows, Stats, Query.Model);
   bool Stays = anyStays(Rows, Stats, Query);
   for (std::size_t I = 0; I < Rows.size(); ++I) {
-    const Serving &Row = Rows[I];
+    const ServingTarget &Row = Rows[I];
     if (Row.Model != Query.Model || isAvoided(Query, Row.Target->Id) ||
         (Stays && mayBeLeaving(Row, Stats, Query)))
       continue;
