--- a/src/control/load_budget.cpp
+++ b/src/control/load_budget.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 bool LoadBudget::isUnlimited() const {
-  return this->Board.Config.Entry->FirstStart && !this->Board.Requested;
+  return this->Board.Config.Entry->FirstStart && !this->Board.RequestSeen;
 }
 
 unsigned LoadBudget::allowed(unsigned Scheduled, const EngineSpec &Engine,
@@ -30,7 +30,7 @@
   // Few owners load at the same time, so each may at least begin as many loads
   // as run at full speed, or half of the total.
   double Min = std::min<double>(Engine.LoadsAtOnce, TotalInWindow / 2);
-  double Max = std::max(TotalInWindow * this->Board.Share, Min);
+  double Max = std::max(TotalInWindow * this->Board.PartitionShare, Min);
   auto Begun = static_cast<double>(this->LoadTimes.size());
   return std::min(Scheduled, static_cast<unsigned>(std::max(0.0, Max - Begun)));
 }
--- a/src/control/news_links.cpp
+++ b/src/control/news_links.cpp
@@ -19,7 +19,7 @@
 absl::StatusOr<wire::NewsT> NewsLinks::query(const NodeInfo &Source,
                                              wire::NewsWantedT Request) {
   std::uint64_t Clock = this->Board.Clock.tick(SystemClock{}.wall());
-  wire::FrameT Frame = frameOf(Clock, std::move(Request));
+  wire::FrameT Frame = makeFrame(Clock, std::move(Request));
   Link &Connection = this->Links[Source.Node];
   if (Connection.Host != Source.Host || Connection.Port != Source.Port)
     Connection = {Source.Host, Source.Port, nullptr};
--- a/src/control/news_server.cpp
+++ b/src/control/news_server.cpp
@@ -20,7 +20,7 @@
 /// What the requesting node knows of a feed's versions; empty in the store's
 /// first era.
 EraMarks marksOf(const wire::NewsWantedT &Request, std::size_t Feed) {
-  return Feed < Request.restored.size() ? readMarks(Request.restored[Feed])
+  return Feed < Request.restored.size() ? unpackMarks(Request.restored[Feed])
                                         : EraMarks();
 }
 
@@ -57,12 +57,12 @@
 std::unique_ptr<wire::FeedNewsT>
 NewsServer::feedNews(FeedKind Kind, StorePosition From, TimePoint Now) {
   const FeedCache &Cache = this->Board.feed(Kind);
-  if (!Cache.next() || !this->Board.mayTell(Kind, Now))
+  if (!Cache.next() || !this->Board.canServeFeed(Kind, Now))
     return std::make_unique<wire::FeedNewsT>();
   bool KnowsNothing = From == UnknownPosition;
   KeyedPage Page =
-      KnowsNothing ? Cache.whole() : Cache.since(From, MostPartBytes);
-  std::size_t MaxBytes = Page.Whole ? MostFilledBytes : MostPassedBytes;
+      KnowsNothing ? Cache.snapshot() : Cache.since(From, MaxPartBytes);
+  std::size_t MaxBytes = Page.IsSnapshot ? MaxSnapshotBytes : MaxUpdateBytes;
   std::lock_guard Lock(this->Mutex);
   return this->Packers[static_cast<std::size_t>(Kind)].pack(Page, From, Now,
                                                             MaxBytes);
@@ -74,7 +74,7 @@
   if (Feed >= Request.next.size())
     return std::make_unique<wire::FeedNewsT>();
   EraMarks Known = marksOf(Request, Feed);
-  this->Board.Feeds[Feed].Cache.hear(Known, Now);
+  this->Board.Feeds[Feed].Cache.mergeMarks(Known, Now);
   StorePosition From(Known.Era, Offset(Request.next[Feed]));
   return this->feedNews(static_cast<FeedKind>(Feed), From, Now);
 }
@@ -96,9 +96,9 @@
     if (!Frame.ok() || Frame->message.type != wire::Message::NewsWanted)
       return;
     const wire::NewsWantedT &Request = *Frame->message.AsNewsWanted();
-    this->Board.noteAsked(SystemClock{}.now());
-    if (!Link.send(frameOf(this->Board.Clock.tick(SystemClock{}.wall()),
-                           this->respond(Request))))
+    this->Board.recordNewsRequest(SystemClock{}.now());
+    if (!Link.send(makeFrame(this->Board.Clock.tick(SystemClock{}.wall()),
+                             this->respond(Request))))
       return;
   }
 }
--- a/src/control/restored_entries.cpp
+++ b/src/control/restored_entries.cpp
@@ -9,11 +9,12 @@
 std::optional<StaleReason>
 RestoredEntries::staleReasonOf(const TargetInfo &Read, const Fleet &Known) {
   if (auto Gone = Known.Removed.find(Read.Id); Gone != Known.Removed.end())
-    return Gone->second.Last->Born == Read.Born
+    return Gone->second.Last->StartedAt == Read.StartedAt
                ? std::optional(StaleReason::TargetRemoved)
                : std::nullopt;
   auto Listed = Known.Targets.find(Read.Id);
-  if (Listed == Known.Targets.end() || Listed->second->Born != Read.Born)
+  if (Listed == Known.Targets.end() ||
+      Listed->second->StartedAt != Read.StartedAt)
     return std::nullopt;
   if (Listed->second->Draining && !Read.Draining)
     return StaleReason::TargetLeaving;
--- a/src/control/shared_observations.cpp
+++ b/src/control/shared_observations.cpp
@@ -37,11 +37,11 @@
   NodeId From(Request.node);
   std::lock_guard Lock(this->Mutex);
   if (SameCentre) {
-    this->Loads.addReport(From, readLoads(Request.loads), Now);
-    this->Demand.addReport(From, readDemand(Request.demand), Now);
+    this->Loads.addReport(From, unpackLoads(Request.loads), Now);
+    this->Demand.addReport(From, unpackDemand(Request.demand), Now);
   } else {
-    this->Loads.addCentreReport(From, readLoads(Request.loads), Now);
-    this->Demand.addCentreReport(From, readDemand(Request.demand), Now);
+    this->Loads.addCentreReport(From, unpackLoads(Request.loads), Now);
+    this->Demand.addCentreReport(From, unpackDemand(Request.demand), Now);
   }
   Response.loads = packLoads(this->Loads.sumForReader(Own, From, Now));
   Response.demand = packDemand(this->Demand.sumForReader(OwnDemand, From, Now));
@@ -57,8 +57,8 @@
   std::erase_if(this->CrashesReceivedAt, [&](const auto &Row) {
     return Now - Row.second >= CrashBlame::ReportDuration;
   });
-  this->Loads.setUpstreamReport(readLoads(Response.loads), Now);
-  this->Demand.setUpstreamReport(readDemand(Response.demand), Now);
+  this->Loads.setUpstreamReport(unpackLoads(Response.loads), Now);
+  this->Demand.setUpstreamReport(unpackDemand(Response.demand), Now);
 }
 
 TargetLoads SharedObservations::ownLoads(TimePoint Now) const {
@@ -79,7 +79,7 @@
     Others = this->Loads.sumOfOthers(Now);
     OthersDemand = this->Demand.sumOfOthers(Now);
   }
-  this->Board.DemandElsewhere.write(
+  this->Board.RemoteDemand.write(
       [&](DemandTable &Rows) { Rows = std::move(OthersDemand); });
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
@@ -109,7 +109,7 @@
     const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows, TimePoint Now) {
   if (Rows.empty())
     return;
-  CrashEvidenceMap Crashes = readCrashes(Rows);
+  CrashEvidenceMap Crashes = unpackCrashes(Rows);
   this->Board.Crashes.write(
       [&](CrashBlame &Into) { Into.merge(Crashes, Now); });
 }
@@ -117,7 +117,7 @@
 void SharedObservations::updateBlame(TimePoint Now) {
   CrashBlame::Changes Found =
       this->Board.TargetStats.read([&](const TargetStatsTable &Seen) {
-        auto LastProgress = [&](const VmLife &Target) {
+        auto LastProgress = [&](const VmIncarnation &Target) {
           return Seen.of(Target).LastProgress;
         };
         return this->Board.Crashes.write([&](CrashBlame &Rows) {
@@ -147,7 +147,7 @@
 void SharedObservations::applyRenewals(
     const std::vector<wire::RenewalRow> &Rows, TimePoint From) {
   this->Board.Renewals.write([&](MembershipRenewals &Into) {
-    waycove::takeRenewals(Rows, From, Into);
+    waycove::mergeRenewals(Rows, From, Into);
   });
 }
 
--- a/src/edge/attempts.h
+++ b/src/edge/attempts.h
@@ -34,7 +34,7 @@
   void noteEnd(const RouteTarget &Target, AttemptOutcome End,
                std::size_t Known);
   /// A target that says that it leaves is believed, here and by all peers.
-  void noteLeaving(const RouteTarget &Target);
+  void recordLeaving(const RouteTarget &Target);
   RetryDecision decide(const CallerRequest &Request, Course &Run,
                        AttemptOutcome End);
   /// Notes that the request goes on elsewhere.
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -27,7 +27,7 @@
   /// used for another request.
   bool serve(Channel &Caller, RelayRequest Request) {
     this->Board.InFlight.fetch_add(1);
-    this->Board.Requested = true;
+    this->Board.RequestSeen = true;
     bool Keep = Request.Head.getKeepAlive() && !this->Board.Stopping;
     CallerResponse Response(Caller, Keep, Request.Head.getMethod() != "HEAD");
     RelayProgress Progress;
@@ -95,7 +95,7 @@
                          TimePoint ChosenAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
-    const VmLife Life = To.Target->life();
+    const VmIncarnation Life = To.Target->incarnation();
     Ex.Progress.Tried.push_back(Life.Id);
     if (!this->connect(Ex, Attempt)) {
       this->Log.suspectTarget(Life, UnreachableTime, Attempt.Reason,
@@ -135,7 +135,8 @@
     // A kept connection may just be closing; what cannot be repeated is not
     // put at that risk.
     if (Ex.Request.Route->mayRepeat())
-      Attempt.Connection = this->Pool.take(Attempt.To.Target->life(), Now);
+      Attempt.Connection =
+          this->Pool.take(Attempt.To.Target->incarnation(), Now);
     if (Attempt.Connection)
       return true;
     IoStatus End = Channel::connect(
@@ -226,7 +227,7 @@
   }
 
   void refuse(RelayExchange Ex, const absl::Status &Why) {
-    const ErrorAnswer &Row = answerFor(kindOf(Why));
+    const ErrorResponse &Row = responseFor(kindOf(Why));
     Poco::Net::HTTPResponse Out(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Row.HttpStatus));
     Out.setContentType("application/json");
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -30,7 +30,7 @@
     });
   const ServiceId &Service = Request.Service;
   const EntrySettings &Given = *this->Board.Config.Entry;
-  this->Board.Spend.write([&](SpendTable &Rows) {
+  this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     Rows.try_emplace(Service, RetryLimit{Given.RetryRatio, Given.RetrySlack,
                                          Given.RetryWindow})
         .first->second.onRequest(SystemClock{}.now());
@@ -75,7 +75,7 @@
                                 TimePoint Now) {
   if (End == AttemptOutcome::Broken && Attempt.ConnectionLost)
     this->Board.Crashes.write([&](CrashBlame &Rows) {
-      Rows.recordLost(Request.Content, Attempt.To.Target->life(), Now);
+      Rows.recordLost(Request.Content, Attempt.To.Target->incarnation(), Now);
     });
   else if (End == AttemptOutcome::Done && Attempt.Succeeded)
     this->Board.Crashes.write(
@@ -86,7 +86,7 @@
                                                 const RelayProgress &Progress,
                                                 TimePoint Now) {
   // Before the view: an age must not be understated.
-  TimePoint ProvenAt = this->Board.RegistryProven.get();
+  TimePoint ProvenAt = this->Board.RegistryProvenAt.get();
   ServingViewRef View =
       this->Board.Serving.read([](const ServingViewRef &Row) { return Row; });
   auto Rows = View->ByService.find(Request.Service);
@@ -142,21 +142,21 @@
   std::optional<ChosenTarget> Other = this->choose(Request, After, Now);
   return Other && this->hasRetryLeft(Request.Service, Now) &&
          this->Board.TargetStats.read([&](const TargetStatsTable &Stats) {
-           return !Stats.isSuspect(Other->To.Target->life(), Now);
+           return !Stats.isSuspect(Other->To.Target->incarnation(), Now);
          });
 }
 
 bool RelayPolicy::hasRetryLeft(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  return this->Board.Spend.write([&](SpendTable &Rows) {
+  double Share = this->Board.perNodeShare();
+  return this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     auto At = Rows.find(Service);
     return At != Rows.end() && At->second.allows(Share, Now);
   });
 }
 
 bool RelayPolicy::takeRetry(const ServiceId &Service, TimePoint Now) {
-  double Share = this->Board.evenShare();
-  bool Taken = this->Board.Spend.write([&](SpendTable &Rows) {
+  double Share = this->Board.perNodeShare();
+  bool Taken = this->Board.RetryLimiters.write([&](RetryLimiterTable &Rows) {
     auto At = Rows.find(Service);
     return At != Rows.end() && At->second.take(Share, Now);
   });
--- a/src/entry/response_forwarder.h
+++ b/src/entry/response_forwarder.h
@@ -82,14 +82,15 @@
           AttemptOutcome::Done)
         this->keepConnection(Ex, Attempt, Head, Info, Body);
       Attempt.Reason = "not taken, status " + std::to_string(Status);
-      this->Log.suspectTarget(Attempt.To.Target->life(),
+      this->Log.suspectTarget(Attempt.To.Target->incarnation(),
                               Info.WrongTarget ? MistakenTime : FullTime,
                               Attempt.Reason, Ex.Request.Info.Id);
       return AttemptOutcome::Refused;
     }
     this->recordFirstByte(Ex, Attempt);
     this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
-      Stats.onResponseHead(Attempt.To.Target->life(), !Head.getKeepAlive());
+      Stats.onResponseHead(Attempt.To.Target->incarnation(),
+                           !Head.getKeepAlive());
     });
     bool Success = Status >= 200 && Status < 300;
     Attempt.Succeeded = Success;
@@ -141,7 +142,7 @@
       bool InOrder = takeEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
         this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
-          Stats.onProgress(Attempt.To.Target->life(), Attempt.LastByte);
+          Stats.onProgress(Attempt.To.Target->incarnation(), Attempt.LastByte);
         });
       // What came in order counts as had by the caller: it goes out first.
       if (!forwardEvents(Ex, Head, Ready))
@@ -222,10 +223,10 @@
                       const TargetResponseInfo &Info, const BodyDecoder &Body) {
     if (!Head.getKeepAlive() || Body.kind() == Framing::UntilClose)
       return;
-    const VmLife Target = Attempt.To.Target->life();
+    const VmIncarnation Target = Attempt.To.Target->incarnation();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
     unsigned Most = idleConnectionLimit(Spec ? Spec->MaxConnections : 1,
-                                        this->Board.evenShare(),
+                                        this->Board.perNodeShare(),
                                         this->Board.Config.Node, Target.Id);
     this->Pool.put(Target, std::move(*Attempt.Connection),
                    Info.KeepAlive.value_or(Millis(0)), Most,
@@ -240,7 +241,7 @@
       Ex.Progress.FirstByte =
           std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt);
     this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
-      Stats.onFirstByte(Attempt.To.Target->life(), Attempt.SentAt,
+      Stats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
                         static_cast<double>(Ex.Request.Info.PromptTokens), Now);
     });
     this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.ArrivedAt);
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -69,7 +69,7 @@
     }
     if (this->isSilentTooLong(Ex, Attempt, Now) &&
         this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
-      this->Log.suspectTarget(Attempt.To.Target->life(), SilentTime,
+      this->Log.suspectTarget(Attempt.To.Target->incarnation(), SilentTime,
                               Attempt.Reason, Ex.Request.Info.Id);
       return AttemptOutcome::Stalled;
     }
@@ -110,7 +110,7 @@
 bool ResponseWait::isSilentTooLong(const RelayExchange &Ex,
                                    RelayAttempt &Attempt, TimePoint Now) {
   const HttpRoute &Route = *Ex.Request.Route;
-  const VmLife Target = Attempt.To.Target->life();
+  const VmIncarnation Target = Attempt.To.Target->incarnation();
   Sight Seen = this->Board.TargetStats.read([&](const TargetStatsTable &Rows) {
     return Sight{Rows.isStalled(Target, Now), Rows.silence(Target, Now),
                  Rows.hasReports(Now) ? 0 : Rows.of(Target).FirstByteMs};
--- a/src/entry/target_connection_pool.cpp
+++ b/src/entry/target_connection_pool.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::optional<Channel> TargetConnectionPool::take(const VmLife &Target,
+std::optional<Channel> TargetConnectionPool::take(const VmIncarnation &Target,
                                                   TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   auto At = this->Rows.find(Target);
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-void TargetConnectionPool::put(const VmLife &Target, Channel Connection,
+void TargetConnectionPool::put(const VmIncarnation &Target, Channel Connection,
                                Millis KeepAlive, unsigned Most, TimePoint Now) {
   Millis Rest = KeepAlive.count() > 0 ? KeepAlive - RestMargin : ShortRest;
   if (Rest.count() <= 0 || Most == 0 || !Connection.buffer().empty())
@@ -46,7 +46,7 @@
 }
 
 void TargetConnectionPool::sweep(
-    const std::function<bool(const VmLife &)> &IsListed, TimePoint Now) {
+    const std::function<bool(const VmIncarnation &)> &IsListed, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
   for (auto At = this->Rows.begin(); At != this->Rows.end();) {
     std::deque<IdleConnection> &Row = At->second;
--- a/src/policy/centre_balance.cpp
+++ b/src/policy/centre_balance.cpp
@@ -51,7 +51,7 @@
                        : std::min(More / Usual, -LeastEase);
 }
 
-double inFlight(const VmLife &Target, const TargetStatsTable &Stats,
+double inFlight(const VmIncarnation &Target, const TargetStatsTable &Stats,
                 TimePoint Now) {
   const TargetLoad *Others = Stats.reportedLoad(Target, Now);
   return Stats.of(Target).InFlight + (Others ? Others->InFlight : 0.0);
@@ -68,7 +68,7 @@
     std::map<std::string, Tally> Near;
     std::map<std::string, Tally> All;
     for (const ServingTarget &Row : Rows) {
-      const VmLife Target = Row.Target->life();
+      const VmIncarnation Target = Row.Target->incarnation();
       if (Row.Retained || Stats.isSuspect(Target, Now))
         continue;
       double Requests = inFlight(Target, Stats, Now);
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -44,7 +44,7 @@
   double Sum = 0;
   int Measured = 0;
   for (const ServingTarget &Row : Rows) {
-    double Ms = Stats.of(Row.Target->life()).FirstByteMs;
+    double Ms = Stats.of(Row.Target->incarnation()).FirstByteMs;
     if (Row.Model != Model || Ms == 0)
       continue;
     Sum += Ms;
@@ -72,7 +72,7 @@
 
 double expectedWaitMs(const ServingTarget &Row, const TargetStatsTable &Stats,
                       const ChoiceQuery &Query, double Usual) {
-  const VmLife Target = Row.Target->life();
+  const VmIncarnation Target = Row.Target->incarnation();
   const TargetStats &Seen = Stats.of(Target);
   double Wait = firstByteMs(Seen, Usual, Query.Now) +
                 WaitPerRequestMs * Seen.InFlight +
@@ -88,7 +88,7 @@
 bool mayBeLeaving(const ServingTarget &Row, const TargetStatsTable &Stats,
                   const ChoiceQuery &Query) {
   return Row.Retained ||
-         (Query.RegistryStale && Stats.of(Row.Target->life()).Closing);
+         (Query.RegistryStale && Stats.of(Row.Target->incarnation()).Closing);
 }
 
 /// Whether a target of the model stays, so that none that may be leaving has
--- a/src/policy/domain_convert.cpp
+++ b/src/policy/domain_convert.cpp
@@ -52,7 +52,7 @@
       return true;
     return std::none_of(S.View.Targets.begin(), S.View.Targets.end(),
                         [&, Life = Life, &Row = Row](const TargetRef &Vm) {
-                          return Vm->life() == Life && S.isUsable(*Vm) &&
+                          return Vm->incarnation() == Life && S.isUsable(*Vm) &&
                                  !Vm->hasLoaded(Row.Model);
                         });
   });
@@ -61,7 +61,7 @@
 /// Whether the VM is to load another model than \p Model.
 bool DomainPlanner::isReservedForOther(const TargetInfo &Vm,
                                        const ModelSpec &Model) const {
-  auto At = this->Reservations.find(Vm.life());
+  auto At = this->Reservations.find(Vm.incarnation());
   return At != this->Reservations.end() && At->second.Model != Model.Name;
 }
 
@@ -83,7 +83,7 @@
     this->addOrder(S, OrderKind::Close, Row.Head, Key,
                    "its VMs are to serve " + Next.To->Name);
     for (const auto &[Rank, Vm] : Row.Ranks)
-      this->Reservations[Vm->life()] = {Next.To->Name, Until};
+      this->Reservations[Vm->incarnation()] = {Next.To->Name, Until};
   }
   this->LastClosingAt = S.View.Now;
 }
@@ -146,7 +146,7 @@
 /// in which all owners see that they do.
 void DomainPlanner::loadReserved(Step &S) {
   for (const TargetRef &Vm : S.freeVms()) {
-    auto At = this->Reservations.find(Vm->life());
+    auto At = this->Reservations.find(Vm->incarnation());
     if (At == this->Reservations.end() || S.RemainingSpareLoads == 0)
       continue;
     --S.RemainingSpareLoads;
--- a/src/policy/domain_plan.h
+++ b/src/policy/domain_plan.h
@@ -57,7 +57,7 @@
   /// Those that went lately.
   std::vector<RemovedTarget> Removed;
   /// Fates of members that went, as far as asked.
-  std::map<VmLife, MemberStatus> Statuses;
+  std::map<VmIncarnation, MemberStatus> Statuses;
   /// Groups that serve now, by model, over all domains.
   std::map<std::string, unsigned> ServingGroups;
   /// Groups of the other domains, by model, as forecastDomains() says.
@@ -72,7 +72,7 @@
   GroupCounts EarlierTrades;
   /// Listed targets that do not answer while their group's head stands still:
   /// taken for dead, ahead of the registry.
-  std::set<VmLife> PresumedDead;
+  std::set<VmIncarnation> PresumedDead;
   /// Orders carry epochs above this: the owner's fence.
   std::uint64_t EpochFloor = 0;
   /// Groups with epochs up to this were formed before this ownership began.
@@ -135,7 +135,7 @@
   /// A group that this planner ordered and that is not open yet.
   struct FormingGroup {
     std::string Model;
-    std::vector<VmLife> Members;
+    std::vector<VmIncarnation> Members;
     TimePoint Since;
     Millis Timeout{0};
   };
@@ -212,33 +212,34 @@
   /// Groups whose head took the order to leave.
   std::set<GroupKey> LeftGroups;
   /// Members of groups without head that took the order to leave.
-  std::set<std::pair<GroupKey, VmLife>> LeftMembers;
+  std::set<std::pair<GroupKey, VmIncarnation>> LeftMembers;
   /// Groups that did not form in time; never opened by this planner.
   std::set<GroupKey> AbandonedGroups;
   /// Since when a member of the group drains.
   std::map<GroupKey, TimePoint> DrainingSince;
-  std::map<std::tuple<GroupKey, OrderKind, VmLife>, TimePoint> LastOrderAt;
+  std::map<std::tuple<GroupKey, OrderKind, VmIncarnation>, TimePoint>
+      LastOrderAt;
   /// When weights were ordered onto a host, by model.
-  std::map<std::pair<VmLife, std::string>, TimePoint> StagingOrderedAt;
+  std::map<std::pair<VmIncarnation, std::string>, TimePoint> StagingOrderedAt;
   /// A group of one VM that only loads its weights.
   struct WarmUp {
-    VmLife Vm;
+    VmIncarnation Vm;
     TimePoint Since;
     /// From the shared store, not from its host.
     bool Cold = false;
   };
   std::map<GroupKey, WarmUp> WarmUps;
-  std::set<VmLife> WarmUpTried;
+  std::set<VmIncarnation> WarmUpTried;
   /// VMs whose group gave way, the model that they are to load, and until when.
   struct ModelReservation {
     std::string Model;
     TimePoint Until;
   };
-  std::map<VmLife, ModelReservation> Reservations;
+  std::map<VmIncarnation, ModelReservation> Reservations;
   /// When a group was last seen to close anywhere.
   TimePoint LastClosingAt;
   /// Since when each VM that is free has been so.
-  std::map<VmLife, TimePoint> FreeSince;
+  std::map<VmIncarnation, TimePoint> FreeSince;
   std::vector<RemovedTarget> StatusQueries;
   std::uint64_t LastEpoch = 0;
   std::size_t SeenTargetCount = 0;
--- a/src/policy/domain_step.cpp
+++ b/src/policy/domain_step.cpp
@@ -113,7 +113,7 @@
 }
 
 bool DomainPlanner::Step::isUsable(const TargetInfo &Row) const {
-  return !Row.Draining && !this->View.PresumedDead.contains(Row.life());
+  return !Row.Draining && !this->View.PresumedDead.contains(Row.incarnation());
 }
 
 bool DomainPlanner::Step::isShort(const ModelSpec &Model) const {
@@ -130,14 +130,14 @@
 std::vector<TargetRef> DomainPlanner::Step::freeVms() const {
   std::vector<TargetRef> Free;
   for (const TargetRef &Row : this->View.Targets)
-    if (this->isUsable(*Row) && !this->Busy.contains(Row->life()))
+    if (this->isUsable(*Row) && !this->Busy.contains(Row->incarnation()))
       Free.push_back(Row);
   return Free;
 }
 
 void DomainPlanner::Step::markBusy(const AnnouncedGroup &Row) {
   for (const auto &[Rank, Vm] : Row.Ranks)
-    this->Busy.insert(Vm->life());
+    this->Busy.insert(Vm->incarnation());
 }
 
 } // namespace waycove
--- a/src/policy/target_stats.cpp
+++ b/src/policy/target_stats.cpp
@@ -45,7 +45,7 @@
   return std::chrono::duration_cast<Millis>(Now - Since);
 }
 
-void TargetStatsTable::onStart(const VmLife &Target, double PromptTokens,
+void TargetStatsTable::onStart(const VmIncarnation &Target, double PromptTokens,
                                TimePoint Now) {
   TargetStats &Row = this->Rows[Target];
   ++Row.InFlight;
@@ -61,8 +61,9 @@
   Row.PromptWaiting = std::max(0.0, Row.PromptWaiting - PromptTokens);
 }
 
-void TargetStatsTable::onFirstByte(const VmLife &Target, TimePoint SentAt,
-                                   double PromptTokens, TimePoint Now) {
+void TargetStatsTable::onFirstByte(const VmIncarnation &Target,
+                                   TimePoint SentAt, double PromptTokens,
+                                   TimePoint Now) {
   TargetStats &Row = this->Rows[Target];
   double Sample =
       std::chrono::duration<double, std::milli>(Now - SentAt).count();
@@ -76,11 +77,11 @@
   Row.LastProgress = Now;
 }
 
-void TargetStatsTable::onProgress(const VmLife &Target, TimePoint Now) {
+void TargetStatsTable::onProgress(const VmIncarnation &Target, TimePoint Now) {
   this->Rows[Target].LastProgress = Now;
 }
 
-void TargetStatsTable::onEnd(const VmLife &Target, TimePoint SentAt,
+void TargetStatsTable::onEnd(const VmIncarnation &Target, TimePoint SentAt,
                              bool FirstByteSeen, double PromptTokens) {
   TargetStats &Row = this->Rows[Target];
   if (Row.InFlight > 0)
@@ -91,11 +92,12 @@
     --Row.Responding;
 }
 
-void TargetStatsTable::onResponseHead(const VmLife &Target, bool Closes) {
+void TargetStatsTable::onResponseHead(const VmIncarnation &Target,
+                                      bool Closes) {
   this->Rows[Target].Closing = Closes;
 }
 
-void TargetStatsTable::onOutcome(const VmLife &Target, bool Failed,
+void TargetStatsTable::onOutcome(const VmIncarnation &Target, bool Failed,
                                  TimePoint Now) {
   TargetStats &Row = this->Rows[Target];
   ++Row.Answers;
@@ -111,13 +113,13 @@
     Row.SuspectUntil = std::max(Row.SuspectUntil, Now + FailingTime);
 }
 
-void TargetStatsTable::suspect(const VmLife &Target, TimePoint Now,
+void TargetStatsTable::suspect(const VmIncarnation &Target, TimePoint Now,
                                Millis Time) {
   TargetStats &Row = this->Rows[Target];
   Row.SuspectUntil = std::max(Row.SuspectUntil, Now + Time);
 }
 
-void TargetStatsTable::onRegrouped(const VmLife &Target) {
+void TargetStatsTable::onRegrouped(const VmIncarnation &Target) {
   if (auto At = this->Rows.find(Target); At != this->Rows.end())
     At->second.SuspectUntil = TimePoint();
 }
@@ -152,7 +154,7 @@
   return !this->Elsewhere.empty() && Now - this->ToldAt <= ReportMaxAge;
 }
 
-const TargetLoad *TargetStatsTable::reportedLoad(const VmLife &Target,
+const TargetLoad *TargetStatsTable::reportedLoad(const VmIncarnation &Target,
                                                  TimePoint Now) const {
   if (!this->hasReports(Now))
     return nullptr;
@@ -160,7 +162,8 @@
   return At == this->Elsewhere.end() ? nullptr : &At->second;
 }
 
-bool TargetStatsTable::isStalled(const VmLife &Target, TimePoint Now) const {
+bool TargetStatsTable::isStalled(const VmIncarnation &Target,
+                                 TimePoint Now) const {
   const TargetStats &Here = this->of(Target);
   const TargetLoad *There = this->reportedLoad(Target, Now);
   if (!There || There->Responding == 0)
@@ -168,7 +171,8 @@
   return There->isStalled() && (Here.Responding == 0 || Here.isStalled(Now));
 }
 
-bool TargetStatsTable::isSuspect(const VmLife &Target, TimePoint Now) const {
+bool TargetStatsTable::isSuspect(const VmIncarnation &Target,
+                                 TimePoint Now) const {
   const TargetStats &Here = this->of(Target);
   if (Here.SuspectUntil > Now || this->isStalled(Target, Now))
     return true;
@@ -178,7 +182,8 @@
          !There->hasProgress() && !Moves;
 }
 
-Millis TargetStatsTable::silence(const VmLife &Target, TimePoint Now) const {
+Millis TargetStatsTable::silence(const VmIncarnation &Target,
+                                 TimePoint Now) const {
   const TargetStats &Here = this->of(Target);
   const TargetLoad *There = this->reportedLoad(Target, Now);
   if (!There || There->InFlight == 0)
@@ -188,14 +193,14 @@
   return std::min(Here.silence(Now), There->SilentFor);
 }
 
-const TargetStats &TargetStatsTable::of(const VmLife &Target) const {
+const TargetStats &TargetStatsTable::of(const VmIncarnation &Target) const {
   static const TargetStats Unknown;
   auto At = this->Rows.find(Target);
   return At == this->Rows.end() ? Unknown : At->second;
 }
 
 void TargetStatsTable::forget(
-    const std::function<bool(const VmLife &)> &IsListed) {
+    const std::function<bool(const VmIncarnation &)> &IsListed) {
   std::erase_if(this->Rows, [&](const auto &Entry) {
     return Entry.second.InFlight == 0 && !IsListed(Entry.first);
   });
