--- a/tools/without.py
+++ b/tools/without.py
@@ -14,11 +14,11 @@
 MECHANISMS = {
     "head-leaves-first": (
         "src/policy/domain_review.cpp",
-        'return this->release(S, Key, Row, "given up");', "return;",
+        'return this->release(S, Key, Group, "given up");', "return;",
         "planner: lost, late"),
     "members-leave": (
         "src/policy/domain_review.cpp",
-        "if (this->LeftMembers.contains({Key, Vm->life()}))", "if (true)",
+        "if (this->LeftMembers.contains({Key, Vm->incarnation()}))", "if (true)",
         "planner: lost, late"),
     "earlier-owner": (
         "src/policy/domain_review.cpp",
@@ -91,7 +91,7 @@
         "vitals: another node left"),
     "load-queue": (
         "src/policy/load_schedule.cpp",
-        "std::min<std::size_t>(Engine.LoadsAtOnce, All.Loading)", "0",
+        "std::min<std::size_t>(Engine.LoadsAtOnce, State.Loading)", "0",
         "load turns"),
     "drain-hold": (
         "src/policy/domain_review.cpp",
@@ -309,7 +309,7 @@
         "choice of many nodes"),
     "loads-shown": (
         "src/policy/load_schedule.cpp",
-        "All.Loading += isLoading(*Row) ? 1 : 0;", "",
+        "State.Loading += isLoading(*Target) ? 1 : 0;", "",
         "load turns: loads are under way"),
     "formed-of-what-is-there": (
         "src/policy/domain_form.cpp",
