--- a/src/edge/serve.h
+++ b/src/edge/serve.h
@@ -247,8 +247,8 @@
         return refuse(Into, makeError(ErrorKind::OutcomeUnknown,
                                       "its outcome is not known"));
       if (Look.State == IdempotencyState::Done) {
-        sendWhole(Into, Look.Answer->HttpStatus, Look.Answer->ContentType,
-                  Look.Answer->Body);
+        sendWhole(Into, Look.Response->HttpStatus, Look.Response->ContentType,
+                  Look.Response->Body);
         return absl::OkStatus();
       }
       if (SystemClock{}.now() >= Request.Deadline)
--- a/src/policy/choice.h
+++ b/src/policy/choice.h
@@ -11,29 +11,27 @@
 
 namespace waycove {
 
-/// What one choice is about.
+/// Parameters of one choice of a target.
 struct ChoiceQuery {
   /// Empty for plain services.
   std::string Model;
   DataCentreId Here;
-  /// Targets of other data centres are as good: those of this one are busier.
+  /// Do not prefer targets of this data centre.
   bool AnyDataCentre = false;
-  /// Targets that this request was sent to before.
+  /// Targets that this request was already sent to.
   std::vector<VmId> Avoid;
   TimePoint Now;
-  /// What is known of the registry is older than the bound on leaving targets.
+  /// The registry view is older than the drain bound.
   bool RegistryStale = false;
-  /// Uniform bits.
+  /// Uniformly distributed random bits.
   std::uint64_t Random = 0;
 };
 
-/// The target with the least expected wait. A target in another data centre
-/// and one that is under suspicion pay a penalty, so they are used where the
-/// others are worse, or nothing else is left. One whose entry is missing is
-/// used only where none is listed: so a node that wrongly takes the store for
-/// away sends nothing to a target that has left. The same holds for one that
-/// closes its connections, where the registry cannot say whether it leaves;
-/// some close them for other reasons. Null where there is none.
+/// Returns the target with the shortest expected wait, or null if none is
+/// available. Targets in other data centres and suspect targets are charged a
+/// penalty. Targets that may be leaving are used only if no other target serves
+/// the model: those retained after their entry vanished and, while the registry
+/// view is stale, those that close their connections.
 const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
                                   const TargetStatsTable &Stats,
                                   const ChoiceQuery &Query);
--- a/src/policy/connections.h
+++ b/src/policy/connections.h
@@ -8,11 +8,12 @@
 
 namespace waycove {
 
-/// How many resting connections this node may keep to \p Target, which takes
-/// \p MostOfAll from all nodes together and resets what is more. Where its
-/// part, \p EvenShare, is less than one connection, some nodes keep one and
-/// others none; who does depends on node and target alone.
-unsigned idleConnectionLimit(unsigned MostOfAll, double EvenShare,
+/// Returns how many idle connections this node may keep to \p Target, which
+/// accepts \p TotalLimit connections from all nodes together and resets any
+/// more. If this node's part, \p EvenShare, amounts to less than one
+/// connection, some nodes keep one and others none, by a hash of node and
+/// target.
+unsigned idleConnectionLimit(unsigned TotalLimit, double EvenShare,
                              const NodeId &Node, const VmId &Target);
 
 } // namespace waycove
--- a/src/policy/crash_blame.cpp
+++ b/src/policy/crash_blame.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-using Evidence = std::map<ContentHash, std::set<TargetHash>>;
-/// A row's ends, its last change and its content: what says more comes later.
-using Place = std::tuple<std::size_t, TimePoint, ContentHash>;
+using CrashesByContent = std::map<ContentHash, std::set<TargetHash>>;
+/// Sort key of a content, weakest evidence first: its number of crashes, its
+/// last change and its hash.
+using SortKey = std::tuple<std::size_t, TimePoint, ContentHash>;
 
 std::size_t countWithout(const std::set<TargetHash> &CrashedTargets,
                          const std::set<TargetHash> &Explained) {
@@ -24,21 +25,21 @@
                     [&](TargetHash End) { return !Explained.contains(End); }));
 }
 
-/// The contents with the most ends that nothing explains yet, where these are
-/// enough to blame them.
+/// Returns the contents with the most unexplained crashes, if these are enough
+/// to blame them.
 template <typename F>
-std::vector<ContentHash> mostLikely(const Evidence &Given,
+std::vector<ContentHash> mostLikely(const CrashesByContent &Remaining,
                                     const std::set<TargetHash> &Explained,
-                                    F EndsNeeded) {
-  std::size_t Most = 0;
+                                    F CrashesNeeded) {
+  std::size_t Max = 0;
   std::vector<ContentHash> Likely;
-  for (const auto &[Content, CrashedTargets] : Given) {
+  for (const auto &[Content, CrashedTargets] : Remaining) {
     std::size_t Count = countWithout(CrashedTargets, Explained);
-    if (Count < std::max(Most, EndsNeeded(Content)))
+    if (Count < std::max(Max, CrashesNeeded(Content)))
       continue;
-    if (Count > Most)
+    if (Count > Max)
       Likely.clear();
-    Most = Count;
+    Max = Count;
     Likely.push_back(Content);
   }
   return Likely;
@@ -55,14 +56,14 @@
   this->TrialDone |= Other.TrialDone;
   this->CrashedTargets.insert(Other.CrashedTargets.begin(),
                               Other.CrashedTargets.end());
-  while (this->CrashedTargets.size() > MostEnds)
+  while (this->CrashedTargets.size() > MaxCrashedTargets)
     this->CrashedTargets.erase(std::prev(this->CrashedTargets.end()));
   return *this != Before;
 }
 
 void CrashBlame::ServedMemory::add(ContentHash Content) {
   this->Newer.insert(Content);
-  if (this->Newer.size() < MostRemembered)
+  if (this->Newer.size() < MaxRemembered)
     return;
   this->Older = std::move(this->Newer);
   this->Newer.clear();
@@ -72,31 +73,33 @@
                                       TimePoint Now) const {
   if (!this->Blamed.contains(Content))
     return Verdict::Allow;
-  return this->mayTry(Content, Now) ? Verdict::Trial : Verdict::Refuse;
+  return this->mayRunTrial(Content, Now) ? Verdict::Trial : Verdict::Refuse;
 }
 
-/// Whether it is to be tried once more: nothing tells it from another one, or
-/// targets may have ended of themselves as it ran.
-bool CrashBlame::mayTry(ContentHash Content, TimePoint Now) const {
+/// Returns true if a blamed content should be sent once more: it has minimal
+/// evidence, or another blamed content ran at all of the same crashes.
+bool CrashBlame::mayRunTrial(ContentHash Content, TimePoint Now) const {
   auto At = this->Rows.find(Content);
-  if (At == this->Rows.end() || At->second.Row.TrialDone ||
-      Now - At->second.ChangedAt < TrialAfter)
+  if (At == this->Rows.end() || At->second.Evidence.TrialDone ||
+      Now - At->second.ChangedAt < TrialDelay)
     return false;
-  const std::set<TargetHash> &CrashedTargets = At->second.Row.CrashedTargets;
+  const std::set<TargetHash> &CrashedTargets =
+      At->second.Evidence.CrashedTargets;
   auto IsAtAll = [&](ContentHash Other) {
     auto Row = this->Rows.find(Other);
     return Other != Content && Row != this->Rows.end() &&
-           std::includes(Row->second.Row.CrashedTargets.begin(),
-                         Row->second.Row.CrashedTargets.end(),
+           std::includes(Row->second.Evidence.CrashedTargets.begin(),
+                         Row->second.Evidence.CrashedTargets.end(),
                          CrashedTargets.begin(), CrashedTargets.end());
   };
   return CrashedTargets.size() == CrashesToBlame ||
          std::any_of(this->Blamed.begin(), this->Blamed.end(), IsAtAll);
 }
 
-std::size_t CrashBlame::endsNeeded(ContentHash Content) const {
+std::size_t CrashBlame::crashesNeeded(ContentHash Content) const {
   auto At = this->Rows.find(Content);
-  bool WasServed = At != this->Rows.end() && At->second.Row.TimesServed > 0;
+  bool WasServed =
+      At != this->Rows.end() && At->second.Evidence.TimesServed > 0;
   return WasServed || this->Served.contains(Content) ? CrashesToBlameServed
                                                      : CrashesToBlame;
 }
@@ -104,21 +107,21 @@
 void CrashBlame::recordLost(ContentHash Content, const VmIncarnation &Target,
                             TimePoint Now) {
   this->Losses.push_back({Content, Target, Now});
-  // All that ran at a target is lost at once, mostly for the first time.
-  if (this->endsOf(Content).size() >= CrashesToBlame)
+  // Most losses are the first of their content, and cannot change the blame.
+  if (this->crashedTargetsOf(Content).size() >= CrashesToBlame)
     this->blame();
 }
 
 void CrashBlame::recordServed(ContentHash Content, TimePoint Now) {
   this->Served.add(Content);
-  std::size_t Lost = std::erase_if(
+  std::size_t Dropped = std::erase_if(
       this->Losses, [&](const Loss &Row) { return Row.Content == Content; });
   auto At = this->Rows.find(Content);
   bool Suspected =
-      At != this->Rows.end() && !At->second.Row.CrashedTargets.empty();
+      At != this->Rows.end() && !At->second.Evidence.CrashedTargets.empty();
   if (Suspected)
-    At->second = {{At->second.Row.TimesServed + 1, false, {}}, Now};
-  if (Suspected || Lost > 0)
+    At->second = {{At->second.Evidence.TimesServed + 1, false, {}}, Now};
+  if (Suspected || Dropped > 0)
     this->blame();
 }
 
@@ -126,28 +129,28 @@
   auto At = this->Rows.find(Content);
   if (At == this->Rows.end())
     return;
-  At->second.Row.TrialDone = true;
+  At->second.Evidence.TrialDone = true;
   At->second.ChangedAt = Now;
 }
 
-void CrashBlame::confirm(const std::vector<Loss> &Ended, TimePoint Now) {
-  for (const Loss &Row : Ended) {
-    Kept &Into = this->Rows[Row.Content];
+void CrashBlame::confirm(const std::vector<Loss> &Crashes, TimePoint Now) {
+  for (const Loss &Row : Crashes) {
+    Entry &Into = this->Rows[Row.Content];
     std::uint32_t Before = this->Served.contains(Row.Content) ? 1 : 0;
-    if (Into.Row.merge({std::max(Into.Row.TimesServed, Before),
-                        Into.Row.TrialDone,
-                        {hashOf(Row.Target)}}))
+    if (Into.Evidence.merge({std::max(Into.Evidence.TimesServed, Before),
+                             Into.Evidence.TrialDone,
+                             {hashOf(Row.Target)}}))
       Into.ChangedAt = Now;
   }
   this->forget();
   this->blame();
 }
 
-void CrashBlame::merge(const CrashEvidenceMap &Told, TimePoint Now) {
+void CrashBlame::merge(const CrashEvidenceMap &Reported, TimePoint Now) {
   bool Changed = false;
-  for (const auto &[Content, Row] : Told) {
-    Kept &Into = this->Rows[Content];
-    if (!Into.Row.merge(Row))
+  for (const auto &[Content, Row] : Reported) {
+    Entry &Into = this->Rows[Content];
+    if (!Into.Evidence.merge(Row))
       continue;
     Into.ChangedAt = Now;
     Changed = true;
@@ -159,108 +162,112 @@
 }
 
 template <typename F>
-CrashEvidenceMap CrashBlame::pick(F IsWanted, std::size_t Most) const {
-  std::vector<Place> Order;
+CrashEvidenceMap CrashBlame::pick(F IsWanted, std::size_t Max) const {
+  std::vector<SortKey> Order;
   for (const auto &[Content, Row] : this->Rows)
     if (IsWanted(Content, Row))
-      Order.emplace_back(Row.Row.CrashedTargets.size(), Row.ChangedAt, Content);
+      Order.emplace_back(Row.Evidence.CrashedTargets.size(), Row.ChangedAt,
+                         Content);
   std::sort(Order.rbegin(), Order.rend());
-  Order.resize(std::min(Order.size(), Most));
+  Order.resize(std::min(Order.size(), Max));
   CrashEvidenceMap Picked;
-  for (const Place &Row : Order) {
+  for (const SortKey &Row : Order) {
     auto Content = std::get<ContentHash>(Row);
-    Picked[Content] = this->Rows.at(Content).Row;
+    Picked[Content] = this->Rows.at(Content).Evidence;
   }
   return Picked;
 }
 
 CrashEvidenceMap CrashBlame::recentRows(TimePoint Now) const {
   return this->pick(
-      [&](ContentHash, const Kept &Row) {
+      [&](ContentHash, const Entry &Row) {
         return Now - Row.ChangedAt < ReportDuration;
       },
       MaxReported);
 }
 
 CrashEvidenceMap CrashBlame::allRows() const {
-  return this->pick([](ContentHash, const Kept &) { return true; },
+  return this->pick([](ContentHash, const Entry &) { return true; },
                     MaxReported);
 }
 
 CrashEvidenceMap CrashBlame::blamedRows() const {
   return this->pick(
-      [this](ContentHash Content, const Kept &) {
+      [this](ContentHash Content, const Entry &) {
         return this->Blamed.contains(Content);
       },
       MaxPersisted);
 }
 
-std::set<TargetHash> CrashBlame::endsOf(ContentHash Content) const {
+std::set<TargetHash> CrashBlame::crashedTargetsOf(ContentHash Content) const {
   std::set<TargetHash> CrashedTargets;
   if (auto At = this->Rows.find(Content); At != this->Rows.end())
-    CrashedTargets = At->second.Row.CrashedTargets;
+    CrashedTargets = At->second.Evidence.CrashedTargets;
   for (const Loss &Row : this->Losses)
     if (Row.Content == Content)
       CrashedTargets.insert(hashOf(Row.Target));
   return CrashedTargets;
 }
 
-Evidence CrashBlame::evidence() const {
+CrashesByContent CrashBlame::evidence() const {
   std::set<ContentHash> Likely;
   for (const auto &[Content, Row] : this->Rows)
-    if (Row.Row.CrashedTargets.size() >= CrashesToBlame)
+    if (Row.Evidence.CrashedTargets.size() >= CrashesToBlame)
       Likely.insert(Content);
   for (const Loss &Row : this->Losses)
     Likely.insert(Row.Content);
-  Evidence Given;
+  CrashesByContent Remaining;
   for (ContentHash Content : Likely)
-    if (std::set<TargetHash> CrashedTargets = this->endsOf(Content);
+    if (std::set<TargetHash> CrashedTargets = this->crashedTargetsOf(Content);
         CrashedTargets.size() >= CrashesToBlame)
-      Given[Content] = std::move(CrashedTargets);
-  return Given;
+      Remaining[Content] = std::move(CrashedTargets);
+  return Remaining;
 }
 
-/// Blames the likeliest first; what ended under those excuses all others.
+/// Blames the contents with the most crashes first; the crashes that they
+/// explain do not count against the others.
 void CrashBlame::blame() {
   this->Blamed.clear();
-  Evidence Given = this->evidence();
+  CrashesByContent Remaining = this->evidence();
   std::set<TargetHash> Explained;
   while (true) {
     std::vector<ContentHash> Likely =
-        mostLikely(Given, Explained, [this](ContentHash Content) {
-          return this->endsNeeded(Content);
+        mostLikely(Remaining, Explained, [this](ContentHash Content) {
+          return this->crashesNeeded(Content);
         });
     if (Likely.empty())
       break;
     for (ContentHash Content : Likely) {
       this->Blamed.insert(Content);
-      const std::set<TargetHash> &CrashedTargets = Given.at(Content);
+      const std::set<TargetHash> &CrashedTargets = Remaining.at(Content);
       Explained.insert(CrashedTargets.begin(), CrashedTargets.end());
     }
     for (ContentHash Content : Likely)
-      Given.erase(Content);
+      Remaining.erase(Content);
   }
 }
 
-/// Of what is over the bound, that goes which says least, the oldest first.
+/// Drops the contents with the weakest and oldest evidence above MaxContents.
 void CrashBlame::forget() {
-  if (this->Rows.size() <= MostRows)
+  if (this->Rows.size() <= MaxContents)
     return;
-  std::vector<Place> Order;
+  std::vector<SortKey> Order;
   for (const auto &[Content, Row] : this->Rows)
-    Order.emplace_back(Row.Row.CrashedTargets.size(), Row.ChangedAt, Content);
+    Order.emplace_back(Row.Evidence.CrashedTargets.size(), Row.ChangedAt,
+                       Content);
   std::sort(Order.begin(), Order.end());
-  for (std::size_t I = 0; I < Order.size() - MostRows; ++I)
+  for (std::size_t I = 0; I < Order.size() - MaxContents; ++I)
     this->Rows.erase(std::get<ContentHash>(Order[I]));
 }
 
 CrashBlame::Changes CrashBlame::takeChanges() {
-  std::set<ContentHash> Before = std::exchange(this->ToldBlamed, this->Blamed);
+  std::set<ContentHash> Before =
+      std::exchange(this->ReportedBlamed, this->Blamed);
   Changes Found;
   for (ContentHash Content : this->Blamed)
     if (auto At = this->Rows.find(Content);
         At != this->Rows.end() && !Before.contains(Content))
-      Found.Blamed[Content] = At->second.Row;
+      Found.Blamed[Content] = At->second.Evidence;
   std::set_difference(Before.begin(), Before.end(), this->Blamed.begin(),
                       this->Blamed.end(), std::back_inserter(Found.Cleared));
   return Found;
--- a/src/policy/crash_blame.h
+++ b/src/policy/crash_blame.h
@@ -13,117 +13,118 @@
 
 namespace waycove {
 
-/// What is known of one content that was under way at targets as they ended.
+/// Evidence against one content that was running at targets when they crashed.
 struct CrashEvidence {
-  /// How often it was proved innocent: it was answered whole after a target had
-  /// ended under it. Evidence of before counts no more.
+  /// How often it was answered completely after a target had crashed under it.
+  /// Each time invalidates all earlier evidence.
   std::uint32_t TimesServed = 0;
-  /// Nodes tried it once more, alone, after it was blamed.
+  /// A node sent it once more, as a trial, after it was blamed.
   bool TrialDone = false;
-  /// The targets that ended under it since; where there are more than are kept,
-  /// those with the smallest hashes, so that all nodes keep the same ones.
+  /// Targets that crashed under it since. Bounded: the smallest hashes are
+  /// retained, so that all nodes retain the same ones.
   std::set<TargetHash> CrashedTargets;
 
-  /// Adds what another node knows; whether anything was new. Nodes may add in
-  /// any order and any number of times.
+  /// Merges the evidence of another node and returns true if anything changed.
+  /// Commutative and idempotent.
   bool merge(const CrashEvidence &Other);
-  // The comparison that the compiler makes is no text of ours. NOLINTNEXTLINE
+  // Defaulted by the compiler. NOLINTNEXTLINE
   bool operator==(const CrashEvidence &) const = default;
 
 private:
-  /// A request that is blamed goes on to end some targets until all nodes know,
-  /// and each of these ends excuses those that ran beside it.
-  static constexpr std::size_t MostEnds = 16;
+  /// Crashes under a blamed request exonerate the requests that ran beside it,
+  /// so more of them are retained than blaming takes.
+  static constexpr std::size_t MaxCrashedTargets = 16;
 };
 
 using CrashEvidenceMap = std::map<ContentHash, CrashEvidence>;
 
-/// Tells which requests end the targets that begin to run them. Such a request
-/// comes again, at any node, with the same content, and is never answered. It
-/// is a guess: when a target ends, all that ran there looks alike, and targets
-/// end of themselves. So
-/// - a content is blamed after three ends, and never while it is answered in
-///   between; one that was answered before, only after many;
-/// - the content with the most ends is blamed first, and what ended under it
-///   counts against no other;
-/// - one that was blamed by the least evidence, or where another one was at the
-///   same ends, is tried once more, at one node.
+/// Detects requests that crash the targets that run them. Such a request is
+/// retried, at any node, with the same content, and is never answered. A crash
+/// affects all requests that run at the target, and targets also crash by
+/// themselves, so the detection is heuristic:
+/// - a content is blamed after CrashesToBlame crashes without a complete
+///   response in between; one that was answered before only after
+///   CrashesToBlameServed;
+/// - the content with the most crashes is blamed first, and the crashes that it
+///   explains do not count against others;
+/// - a content that is blamed on minimal evidence, or together with another one
+///   that ran at all of the same crashes, is sent once more as a trial, by one
+///   node.
 ///
-/// Nodes tell each other their rows, which add up to the same at all of them;
-/// none holds a time of another machine. Not thread-safe.
+/// Nodes exchange their evidence, and it merges to the same state on all of
+/// them; it holds no timestamps of other machines. Not thread-safe.
 class CrashBlame {
 public:
   enum class Verdict { Allow, Trial, Refuse };
-  /// Contents that are blamed anew, with what is known of them, and those that
-  /// are no longer.
+  /// Newly blamed contents with their evidence, and those no longer blamed.
   struct Changes {
     CrashEvidenceMap Blamed;
     std::vector<ContentHash> Cleared;
   };
 
-  /// What to do with a request. Try: it may be sent once, by this node alone
-  /// (recordTrial).
+  /// Decides whether a request may be sent. Trial: once, by this node alone,
+  /// after recordTrial.
   Verdict judge(ContentHash Content, TimePoint Now) const;
-  /// The connection to \p Target ended under a request.
+  /// Records that the connection to \p Target ended during a request.
   void recordLost(ContentHash Content, const VmIncarnation &Target,
                   TimePoint Now);
-  /// A request was answered whole.
+  /// Records that a request was answered completely.
   void recordServed(ContentHash Content, TimePoint Now);
   void recordTrial(ContentHash Content, TimePoint Now);
 
-  /// Takes each lost connection for the end of its target, but where
-  /// \p LastProgress, called with a target's life, shows it alive afterwards.
-  /// To be called several times a second. What changed since the last time is
-  /// returned.
+  /// Counts each lost connection as a crash of its target unless \p
+  /// LastProgress, called with the incarnation of the target, shows that it was
+  /// alive afterwards. Call several times a second. Returns what changed since
+  /// the last call.
   template <typename F> Changes resolveLosses(F LastProgress, TimePoint Now) {
-    std::vector<Loss> Ended;
-    std::size_t Settled = std::erase_if(this->Losses, [&](const Loss &Row) {
-      if (Now - Row.At < SettleTime)
+    std::vector<Loss> Crashes;
+    std::size_t Resolved = std::erase_if(this->Losses, [&](const Loss &Lost) {
+      if (Now - Lost.At < ResolveDelay)
         return false;
-      if (LastProgress(Row.Target) <= Row.At + LateBytes)
-        Ended.push_back(Row);
+      if (LastProgress(Lost.Target) <= Lost.At + LateReadDelay)
+        Crashes.push_back(Lost);
       return true;
     });
-    if (Settled > 0)
-      this->confirm(Ended, Now);
+    if (Resolved > 0)
+      this->confirm(Crashes, Now);
     return this->takeChanges();
   }
-  /// Adds what another node told.
-  void merge(const CrashEvidenceMap &Told, TimePoint Now);
-  /// What changed lately, for nodes that hear of this one all the time.
+  /// Merges the evidence of another node.
+  void merge(const CrashEvidenceMap &Reported, TimePoint Now);
+  /// Evidence that changed within ReportDuration, for nodes that exchange
+  /// reports with this one continuously.
   CrashEvidenceMap recentRows(TimePoint Now) const;
-  /// What is blamed, to be put down where it lasts.
+  /// Evidence of blamed contents, to be persisted.
   CrashEvidenceMap blamedRows() const;
-  /// For a node that knows nothing, or heard nothing lately.
+  /// All evidence, for a node that starts or was disconnected.
   CrashEvidenceMap allRows() const;
 
-  /// Changes are told on for this long: some rounds of news.
+  /// Changes are reported to other nodes for this long: several report
+  /// intervals.
   static constexpr Millis ReportDuration{1500};
-  /// Ends under a content after which it is blamed, as the operators bound what
-  /// one request may cost.
+  /// Crashes under a content after which it is blamed.
   static constexpr std::size_t CrashesToBlame = 3;
-  /// The same for one that was answered before: when targets end in series, all
-  /// that is asked for often is lost several times in a row.
+  /// The same for a content that was answered before: when targets crash in
+  /// series, a frequent request is lost several times in a row.
   static constexpr std::size_t CrashesToBlameServed = 12;
-  /// Rows of blamed contents that nodes put down where they outlive a restart
-  /// of all of them.
+  /// Maximum blamed contents that are persisted.
   static constexpr std::size_t MaxPersisted = 32;
-  /// Rows kept at most.
-  static constexpr std::size_t MostRows = 1024;
-  /// Rows told at most at a time.
+  /// Maximum contents in the table.
+  static constexpr std::size_t MaxContents = 1024;
+  /// Maximum contents in one report.
   static constexpr std::size_t MaxReported = 256;
 
 private:
-  /// Other connections to a target that lives show it within this time.
-  static constexpr Millis SettleTime{250};
-  /// What a target sent before its end may be read so much later.
-  static constexpr Millis LateBytes{100};
-  /// What is blamed is tried again so long after the last that was learned of
-  /// it: by then all nodes know what each saw.
-  static constexpr Millis TrialAfter{1500};
-
-  struct Kept {
-    CrashEvidence Row;
+  /// Time within which other connections show that a target is still alive.
+  static constexpr Millis ResolveDelay{250};
+  /// Bytes that a target sent before its crash may be read this much later.
+  static constexpr Millis LateReadDelay{100};
+  /// A trial starts this long after the last change of the evidence, when all
+  /// nodes have it.
+  static constexpr Millis TrialDelay{1500};
+
+  struct Entry {
+    CrashEvidence Evidence;
     TimePoint ChangedAt;
   };
   struct Loss {
@@ -132,8 +133,8 @@
     TimePoint At;
   };
 
-  /// The contents that were answered last, of which a node remembers between
-  /// one and two times this many.
+  /// The contents answered most recently: between one and two times
+  /// MaxRemembered of them.
   class ServedMemory {
   public:
     void add(ContentHash Content);
@@ -142,32 +143,32 @@
     }
 
   private:
-    static constexpr std::size_t MostRemembered = 4096;
+    static constexpr std::size_t MaxRemembered = 4096;
     std::unordered_set<ContentHash> Newer;
     std::unordered_set<ContentHash> Older;
   };
 
-  /// Of the rows that \p IsWanted names, \p Most at the most: those with the
-  /// most ends, and of these the newest.
+  /// Returns at most \p Max of the rows that \p IsWanted selects: those with
+  /// the most crashes, and of these the newest.
   template <typename F>
-  CrashEvidenceMap pick(F IsWanted, std::size_t Most) const;
-  bool mayTry(ContentHash Content, TimePoint Now) const;
-  std::size_t endsNeeded(ContentHash Content) const;
-  void confirm(const std::vector<Loss> &Ended, TimePoint Now);
-  /// Ends under a content, with those that are not settled yet.
-  std::set<TargetHash> endsOf(ContentHash Content) const;
-  /// The same for all contents with enough of them to be blamed.
+  CrashEvidenceMap pick(F IsWanted, std::size_t Max) const;
+  bool mayRunTrial(ContentHash Content, TimePoint Now) const;
+  std::size_t crashesNeeded(ContentHash Content) const;
+  void confirm(const std::vector<Loss> &Crashes, TimePoint Now);
+  /// Targets that crashed under a content, with losses not resolved yet.
+  std::set<TargetHash> crashedTargetsOf(ContentHash Content) const;
+  /// The same for all contents with enough crashes to be blamed.
   std::map<ContentHash, std::set<TargetHash>> evidence() const;
   void blame();
   void forget();
   Changes takeChanges();
 
-  std::map<ContentHash, Kept> Rows;
+  std::map<ContentHash, Entry> Rows;
   std::vector<Loss> Losses;
   ServedMemory Served;
   std::set<ContentHash> Blamed;
-  /// As takeChanges last saw it.
-  std::set<ContentHash> ToldBlamed;
+  /// The blamed contents at the last call of takeChanges.
+  std::set<ContentHash> ReportedBlamed;
 };
 
 } // namespace waycove
--- a/src/policy/fair.h
+++ b/src/policy/fair.h
@@ -15,48 +15,49 @@
 
 /// Bounds of an admission queue.
 struct FairLimits {
-  /// Requests that may run at once.
+  /// Maximum running requests.
   std::size_t Slots = 8;
-  /// Requests of one workspace that may wait.
+  /// Maximum waiting requests of one workspace.
   std::size_t QueuePerWorkspace = 64;
-  /// Requests of all workspaces that may wait.
+  /// Maximum waiting requests of all workspaces.
   std::size_t QueueTotal = 512;
-  /// Expected tokens of all running requests together; zero for no bound. One
-  /// request may always run, however large.
+  /// Maximum expected tokens of all running requests together; zero for no
+  /// limit. One request may always run, however large.
   std::uint64_t RunningTokens = 0;
 };
 
-/// Ticket of one request in the queue.
+/// Identifies one request in the queue.
 using TicketId = Number<struct TicketTag>;
 
+/// A request offered to the queue.
 struct FairOffer {
   WorkspaceId Workspace;
   std::uint64_t Weight = 1;
   /// Expected work, in tokens.
   Tokens Cost;
   TimePoint Deadline;
-  /// Higher goes first within the workspace only.
+  /// Higher is served first, within the workspace only.
   unsigned Priority = 0;
 };
 
-/// Weighted fair queue over workspaces. Work is counted in tokens, so that a
-/// workspace with long answers gets no more than one with many short ones. A
-/// request whose predicted wait passes its deadline is refused at once, as not
-/// run, with the time after which its workspace's turn is likely. Pure: the
-/// time is an argument. Not thread-safe.
+/// Weighted fair queue over workspaces (start-time fair queueing). Work is
+/// counted in tokens, so that a workspace with long responses gets no more than
+/// one with many short ones. A request whose predicted wait exceeds its
+/// deadline is refused immediately, as not run, with a retry time. Not
+/// thread-safe.
 class FairQueue {
 public:
   explicit FairQueue(FairLimits Limits) : Limits(Limits) {}
 
-  /// Queues a request. Errors: Overloaded, with when to come back.
+  /// Queues a request. Errors: Overloaded, with the time to retry after.
   absl::StatusOr<TicketId> offer(const FairOffer &Offer, TimePoint Now);
-  /// The next request that may run, if a slot is free.
+  /// Returns the next request to run, if there is one and a slot is free.
   std::optional<TicketId> take(TimePoint Now);
-  /// Removes waiting requests whose deadline passed; returns them.
+  /// Removes and returns waiting requests whose deadline passed.
   std::vector<TicketId> expire(TimePoint Now);
-  /// Takes back a request that still waits; false if it does not.
+  /// Removes a request that still waits; returns false if it does not.
   bool withdraw(TicketId Ticket);
-  /// A running request ended, after \p Spent tokens.
+  /// Ends a running request that used \p Spent tokens.
   void finish(TicketId Ticket, Tokens Spent, TimePoint Now);
   void setLimits(std::size_t Slots, std::uint64_t RunningTokens) {
     this->Limits.Slots = Slots;
@@ -65,7 +66,7 @@
 
   std::size_t waiting() const { return this->Waiting; }
   std::size_t running() const { return this->Running.size(); }
-  /// Time that a request of \p Workspace would wait now.
+  /// Returns the time that a request of \p Workspace would wait now.
   Millis predictWait(const WorkspaceId &Workspace, std::uint64_t Weight,
                      Tokens Cost) const;
   double tokensPerSecond() const { return this->Rate; }
@@ -77,18 +78,19 @@
     TimePoint Deadline;
     unsigned Priority = 0;
   };
+  /// Waiting requests of one workspace, and its service so far.
   struct Lane {
     std::uint64_t Weight = 1;
-    /// Virtual time at which the workspace's next request starts.
+    /// Virtual start time of the next request of the workspace.
     double Tag = 0;
     std::uint64_t Backlog = 0;
     std::vector<Item> Items;
   };
-  /// Order in which lanes with waiting requests get their turn.
+  /// Order of service of the lanes with waiting requests.
   struct Turn {
     double Tag = 0;
     WorkspaceId Workspace;
-    // The comparison that the compiler makes is no text of ours. NOLINTNEXTLINE
+    // Defaulted by the compiler. NOLINTNEXTLINE
     auto operator<=>(const Turn &) const = default;
   };
   struct Active {
@@ -99,9 +101,9 @@
 
   bool fits(Tokens Cost) const;
   void updateRate(Tokens Spent, TimePoint Now);
-  void remove(const WorkspaceId &Workspace, Lane &Row,
+  void remove(const WorkspaceId &Workspace, Lane &Own,
               std::vector<Item>::iterator At);
-  void retag(const WorkspaceId &Workspace, Lane &Row, double Change);
+  void advanceTag(const WorkspaceId &Workspace, Lane &Own, double Change);
   void dropIdleLanes();
 
   FairLimits Limits;
@@ -111,7 +113,7 @@
   std::size_t Waiting = 0;
   std::uint64_t WaitingCost = 0;
   std::uint64_t WaitingWeight = 0;
-  std::size_t SinceSweep = 0;
+  std::size_t FinishedSinceSweep = 0;
   std::uint64_t RunningCost = 0;
   TicketId Last;
   double Virtual = 0;
--- a/src/policy/fold.cpp
+++ b/src/policy/fold.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t MaxRecordBytes = 1 << 20;
 constexpr std::size_t MaxCheckpointBytes = 256 << 20;
 constexpr std::size_t MaxKeyBytes = 256;
-/// A record may move the fold's clock ahead by no more than this, so that one
-/// node with a wild clock cannot expire everybody's keys.
+/// Largest step of the clock by one record, so that a node with a wrong clock
+/// cannot expire all keys.
 constexpr std::uint64_t MaxClockStepMs = 24ULL * 3600 * 1000;
 
 template <typename T>
@@ -60,7 +60,7 @@
   }
   this->Next = At.next();
   this->LastRecord.clear();
-  // 1. Read; damage is refused alike everywhere.
+  // 1. Parse. Damaged records are refused on every node alike.
   std::optional<wire::RecordT> Record = unpackRecord(Bytes);
   if (!Record) {
     Outcome.Reason = "unreadable record";
@@ -68,14 +68,14 @@
   }
   Outcome.RecordId = Record->id;
   this->LastRecord = Record->id;
-  // 2. Move the clock, which only ages idempotency keys.
-  std::uint64_t Most = this->Clock.Value + MaxClockStepMs;
+  // 2. Advance the clock, which only ages idempotency keys.
+  std::uint64_t MaxClock = this->Clock.Value + MaxClockStepMs;
   if (this->Clock.Value == 0)
-    Most = Record->written_ms;
+    MaxClock = Record->written_ms;
   this->Clock =
-      std::max(this->Clock, WallMs(std::min(Record->written_ms, Most)));
+      std::max(this->Clock, WallMs(std::min(Record->written_ms, MaxClock)));
   this->pruneClaims();
-  // 3. Decide.
+  // 3. Apply the change.
   if (const auto *Config = Record->change.AsConfigChange())
     this->foldConfig(*Config, WallMs(Record->written_ms), Outcome);
   else if (const auto *Formed = Record->change.AsGroupChange())
@@ -95,7 +95,7 @@
     return;
   }
   ObjectKey Key{*Kind, Change.name};
-  // 1. Compare and set: the change must be based on the present revision.
+  // 1. Compare and set: the change must be based on the current revision.
   ObjectRef Present = this->object(Key);
   std::uint64_t Revision = Present ? Present->Revision : 0;
   if (Revision != Change.base) {
@@ -110,14 +110,14 @@
       Outcome.Reason = Key.text() + ": not there";
       return;
     }
-    if (const auto *Gone = Present->as<Workspace>())
-      this->ByDigest.erase(Gone->KeyDigest);
+    if (const auto *Removed = Present->as<Workspace>())
+      this->ByDigest.erase(Removed->KeyDigest);
     this->Objects.erase(Key);
     Outcome.Accepted = Outcome.TouchesRouting = true;
     Outcome.Reason = Key.text() + " removed";
     return;
   }
-  // 3. Validation, by the same code that `waycove check` runs.
+  // 3. Validate with the same code as `waycove check`.
   ValidationErrors Found;
   std::vector<Object> Parsed = parseObjects("object", Change.body, Found);
   if (!Found.empty() || Parsed.size() != 1 || Parsed[0].Key != Key) {
@@ -131,7 +131,7 @@
       return;
     }
   }
-  // 4. In force.
+  // 4. Publish.
   Parsed[0].Revision = this->Next.Value;
   Parsed[0].Written = Written;
   this->putObject(std::make_shared<const Object>(std::move(Parsed[0])));
@@ -139,13 +139,13 @@
   Outcome.Reason = Key.text() + " revision " + std::to_string(this->Next.Value);
 }
 
-void FoldState::putObject(ObjectRef Row) {
-  if (ObjectRef Old = this->object(Row->Key))
-    if (const auto *Gone = Old->as<Workspace>())
-      this->ByDigest.erase(Gone->KeyDigest);
-  if (const auto *Fresh = Row->as<Workspace>())
-    this->ByDigest[Fresh->KeyDigest] = Row;
-  this->Objects[Row->Key] = std::move(Row);
+void FoldState::putObject(ObjectRef Published) {
+  if (ObjectRef Old = this->object(Published->Key))
+    if (const auto *Replaced = Old->as<Workspace>())
+      this->ByDigest.erase(Replaced->KeyDigest);
+  if (const auto *New = Published->as<Workspace>())
+    this->ByDigest[New->KeyDigest] = Published;
+  this->Objects[Published->Key] = std::move(Published);
 }
 
 void FoldState::dropGroup(Fence Id) {
@@ -163,13 +163,14 @@
   SlotKey Place{DeploymentId(Change.deployment),
                 DataCentreId(Change.data_centre), Slot(Change.slot)};
   Fence Replaces(Change.replaces);
-  // 1. The slot must hold exactly the group that the proposer saw there.
+  // 1. The slot must hold the group that the proposer saw.
   const Group *Present = this->groupAt(Place);
   if ((Present ? Present->Id : Fence()) != Replaces) {
     Outcome.Reason = "the slot has another group";
     return;
   }
-  // 2. Every VM must be as the proposer saw it, and be in no other group.
+  // 2. Every VM must be unchanged since the proposer saw it, and in no other
+  // group.
   std::set<std::string> Seen;
   for (const auto &Row : Change.vms) {
     Assignment Now = this->assignment(VmId(Row->vm));
@@ -184,7 +185,7 @@
     Outcome.Reason = "nothing to dissolve";
     return;
   }
-  // 3. A group has the size its deployment asks for: a partial one is refused.
+  // 3. The group must have the size that its deployment specifies.
   const auto *Spec =
       this->spec<Deployment>(ObjectKind::Deployment, Place.Deployment.Text);
   if (!Change.vms.empty() &&
@@ -192,7 +193,7 @@
     Outcome.Reason = "not the number of VMs that the deployment asks for";
     return;
   }
-  // 4. Dissolve the old group and form the new one in one step.
+  // 4. Dissolve the old group and form the new one atomically.
   this->dropGroup(Replaces);
   if (!Change.vms.empty()) {
     Group Fresh{Fence(this->Next.Value), Place, DomainId(Change.domain), {}};
@@ -235,8 +236,8 @@
   Outcome.Reason = "claims";
 }
 
-/// Forgets keys whose window has passed. The clock never goes back, so such a
-/// key can never be accepted again.
+/// Drops keys whose window has passed. The clock never goes back, so such a key
+/// cannot be accepted again.
 void FoldState::pruneClaims() {
   while (!this->ClaimAges.empty()) {
     auto Oldest = this->ClaimAges.begin();
@@ -362,21 +363,21 @@
 
 namespace {
 
-/// Takes what counts along the log into \p Era. Zero stands for none.
-void moveInto(StoreEra Era, wire::CheckpointT &Saved) {
-  auto Move = [Era](std::uint64_t &Count) {
+/// Converts log positions to \p Era. Zero stands for none.
+void convertToEra(StoreEra Era, wire::CheckpointT &Saved) {
+  auto Convert = [Era](std::uint64_t &Count) {
     if (Count > 0 && eraOf(Count) < Era)
       Count = packPosition(Era, withoutEra(Count));
   };
   Saved.next = std::max(Saved.next, packPosition(Era, withoutEra(Saved.next)));
   for (auto &Row : Saved.objects)
-    Move(Row->revision);
+    Convert(Row->revision);
   for (auto &Row : Saved.vms) {
-    Move(Row->stamp);
-    Move(Row->group);
+    Convert(Row->stamp);
+    Convert(Row->group);
   }
   for (auto &Row : Saved.groups)
-    Move(Row->fence);
+    Convert(Row->fence);
 }
 
 } // namespace
@@ -387,15 +388,16 @@
     return makeError(ErrorKind::Internal, "unreadable checkpoint");
   wire::CheckpointT Saved;
   Table->UnPackTo(&Saved);
-  // 1. Never a damaged one, and never back.
+  // 1. Refuse damaged and older checkpoints.
   std::uint64_t Digest = Saved.digest;
   Saved.digest = 0;
   if (hashText(packTable<wire::Checkpoint>(Saved)) != Digest)
     return makeError(ErrorKind::Internal, "checkpoint digest differs");
-  moveInto(Era, Saved);
+  convertToEra(Era, Saved);
   if (Saved.next < this->Next.Value)
     return makeError(ErrorKind::Internal, "checkpoint older than the state");
-  // 2. Build aside, so that a bad object leaves the present state whole.
+  // 2. Build a separate state, so that an invalid object leaves the current
+  // state unchanged.
   FoldState Fresh;
   Fresh.Next = Offset(Saved.next);
   Fresh.LastRecord = Saved.last_record;
--- a/src/policy/fold.h
+++ b/src/policy/fold.h
@@ -13,22 +13,25 @@
 
 namespace waycove {
 
-/// What the log says about one VM. Stamp is one more than the offset of the
-/// record that last changed its assignment; zero for a VM never assigned.
+/// Assignment of one VM by the log. Stamp is one more than the offset of the
+/// record that last changed it; zero for a VM that was never assigned.
 struct Assignment {
   std::uint64_t Stamp = 0;
   Fence Group;
 };
 
+/// Identifies a slot: the place of one replica of a deployment in a data
+/// centre.
 struct SlotKey {
   DeploymentId Deployment;
   DataCentreId DataCentre;
   Slot Index;
-  // The comparison that the compiler makes is no text of ours. NOLINTNEXTLINE
+  // Defaulted by the compiler. NOLINTNEXTLINE
   auto operator<=>(const SlotKey &) const = default;
 };
 
-/// A group that the log has formed. Whether it serves is not said here.
+/// A group that the log has formed. Whether it serves is not part of this
+/// state.
 struct Group {
   Fence Id;
   SlotKey Place;
@@ -36,6 +39,7 @@
   std::vector<VmId> Vms;
 };
 
+/// Identifies a keyed request of a workspace.
 struct ClaimId {
   WorkspaceId Workspace;
   IdempotencyKey Key;
@@ -48,40 +52,41 @@
   }
 };
 
+/// The dispatcher that holds an idempotency key.
 struct Claim {
   IncarnationId Dispatcher;
   WallMs Issued;
 };
 
-/// What became of one record.
+/// Result of folding one record.
 struct FoldOutcome {
   std::string RecordId;
   bool Accepted = false;
-  /// Why it was refused, or what it did.
+  /// Why it was refused, or what it changed.
   std::string Reason;
-  /// For a claim batch: for each claim, the dispatcher that holds the key; an
-  /// empty one says that the key is outside the validity window.
+  /// For a claim batch: the dispatcher that holds each key; empty if the key is
+  /// outside the validity window.
   std::vector<IncarnationId> Holders;
   bool TouchesRouting = false;
 };
 
-/// The state that the log's records make, folded in offset order by the same
-/// rules on every node. Every effect that must be unique is decided here: the
-/// first valid record wins, so no lease and no clock of a node decides
-/// anything. Not thread-safe; knows no I/O.
+/// The state produced by the records of the log, folded in offset order by the
+/// same rules on every node. Effects that must be unique are decided here: the
+/// first valid record wins, independent of leases and clocks of nodes. Performs
+/// no I/O. Not thread-safe.
 class FoldState {
 public:
   FoldState() = default;
-  /// Nothing, before the record at \p First.
+  /// An empty state, before the record at \p First.
   explicit FoldState(Offset First) : Next(First) {}
 
-  /// Takes in the record at \p At, which must be next(). A record that cannot
-  /// be read is refused and counts as taken, alike on every node.
+  /// Folds the record at \p At, which must be next(). An unreadable record is
+  /// refused, but counts as folded, on every node alike.
   FoldOutcome fold(Offset At, const std::string &Bytes);
 
-  /// The offset of the first record not folded yet. Never goes back.
+  /// Offset of the first record that is not folded yet. Never decreases.
   Offset next() const { return this->Next; }
-  /// Highest time that an accepted record carried.
+  /// Highest time carried by a readable record, with limited steps.
   WallMs clock() const { return this->Clock; }
 
   ObjectRef object(const ObjectKey &Key) const;
@@ -102,19 +107,20 @@
   const std::unordered_map<ClaimId, Claim, ClaimIdHash> &claims() const {
     return this->Claims;
   }
-  /// Workspace whose callers hold the key with this digest; null if none.
+  /// Returns the workspace whose key has this digest, or null.
   ObjectRef workspaceByDigest(const std::string &Digest) const;
-  /// True where \p Issued lies inside the validity window as of the fold.
+  /// Returns true if \p Issued lies inside the validity window by the clock of
+  /// the fold.
   bool isKeyTimeValid(WallMs Issued) const;
-  /// Joins \p Own and the named selectors; nothing where a name is unknown,
-  /// for a selector that nobody defined allows nothing.
+  /// Combines \p Own with the named selectors. Empty if a name is unknown: an
+  /// undefined selector allows nothing.
   std::optional<Selector> resolve(const Selector &Own,
                                   const std::vector<std::string> &Names) const;
 
-  /// The whole state as a checkpoint, and back. Loading refuses (and changes
-  /// nothing) on damage, and where the checkpoint is older than this state. One
-  /// of an earlier era than \p Era is taken into that: its records are in the
-  /// copy that the log came back from.
+  /// Saves the state as a checkpoint, and loads one. Loading fails, and changes
+  /// nothing, if the checkpoint is damaged or older than this state. A
+  /// checkpoint of an era before \p Era is converted to \p Era: the copy that
+  /// the log was restored from contains its records.
   std::string save() const;
   absl::Status load(const std::string &Bytes, StoreEra Era = StoreEra());
   std::uint64_t digest() const;
@@ -125,12 +131,12 @@
   void foldGroup(const wire::GroupChangeT &Change, FoldOutcome &Outcome);
   void foldClaims(const wire::ClaimBatchT &Batch, FoldOutcome &Outcome);
   void pruneClaims();
-  void putObject(ObjectRef Row);
+  void putObject(ObjectRef Published);
   void dropGroup(Fence Id);
   wire::CheckpointT saved() const;
 
   Offset Next;
-  /// Id of the record before Next; empty where that could not be read.
+  /// Id of the record before Next; empty if it was unreadable.
   std::string LastRecord;
   WallMs Clock;
   std::map<ObjectKey, ObjectRef> Objects;
@@ -142,22 +148,22 @@
   std::multimap<WallMs, ClaimId> ClaimAges;
 };
 
-/// How long a caller's idempotency key stays valid after the time it names.
+/// How long an idempotency key stays valid after the time that it names.
 constexpr Millis KeyWindow = std::chrono::hours(1);
-/// How far a key's time may lie ahead of the fold's clock.
+/// How far the time of a key may lie ahead of the clock of the fold.
 constexpr Millis KeySkew = std::chrono::minutes(5);
 
-/// Where a checkpoint goes on, and the record before.
+/// Next offset of a checkpoint, and the id of the record before it.
 struct CheckpointPosition {
   Offset Next;
   std::string LastRecord;
 };
-/// Nothing where \p Bytes are no checkpoint.
+/// Returns nothing if \p Bytes are no checkpoint.
 std::optional<CheckpointPosition> checkpointPosition(const std::string &Bytes);
 
-/// Serialises a record for the log.
+/// Serializes a record for the log.
 std::string packRecord(const wire::RecordT &Record);
-/// Reads a record; nothing where the bytes are no whole, valid record.
+/// Parses a record; returns nothing if the bytes are no complete, valid record.
 std::optional<wire::RecordT> unpackRecord(const std::string &Bytes);
 
 } // namespace waycove
--- a/src/policy/idempotency.cpp
+++ b/src/policy/idempotency.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr std::size_t MaxKeyBytes = 200;
-constexpr std::size_t MostDigits = 15;
-/// A dispatcher remembers a key for longer than any node's fold accepts it.
-constexpr std::uint64_t KeepMs =
+constexpr std::size_t MaxDigits = 15;
+/// A dispatcher retains a key longer than the fold of any node accepts it.
+constexpr std::uint64_t RetentionMs =
     static_cast<std::uint64_t>((KeyWindow + 2 * KeySkew).count());
 
 std::optional<WallMs> readMs(const std::string &Text) {
-  bool Digits = !Text.empty() && Text.size() <= MostDigits &&
+  bool Digits = !Text.empty() && Text.size() <= MaxDigits &&
                 std::all_of(Text.begin(), Text.end(),
                             [](unsigned char C) { return std::isdigit(C); });
   if (!Digits)
@@ -29,25 +29,25 @@
 
 IdempotencyLookup IdempotencyTable::find(const ClaimId &Id,
                                          std::uint64_t Fingerprint) const {
-  auto At = this->Rows.find(Id);
-  if (At == this->Rows.end())
+  auto At = this->Entries.find(Id);
+  if (At == this->Entries.end())
     return {};
   bool Differs = At->second.Fingerprint.value_or(Fingerprint) != Fingerprint;
-  return {At->second.State, Differs, At->second.Answer};
+  return {At->second.State, Differs, At->second.Response};
 }
 
 bool IdempotencyTable::begin(const ClaimId &Id, std::uint64_t Fingerprint,
                              WallMs Issued) {
-  auto [At, Fresh] = this->Rows.try_emplace(
-      Id, Row{IdempotencyState::Running, Fingerprint, Issued, std::nullopt});
+  auto [At, Fresh] = this->Entries.try_emplace(
+      Id, Entry{IdempotencyState::Running, Fingerprint, Issued, std::nullopt});
   if (Fresh)
     this->Ages.emplace(Issued, Id);
   return Fresh;
 }
 
 void IdempotencyTable::abandon(const ClaimId &Id) {
-  auto At = this->Rows.find(Id);
-  if (At == this->Rows.end())
+  auto At = this->Entries.find(Id);
+  if (At == this->Entries.end())
     return;
   auto [From, To] = this->Ages.equal_range(At->second.Issued);
   for (auto Age = From; Age != To; ++Age)
@@ -55,25 +55,25 @@
       this->Ages.erase(Age);
       break;
     }
-  this->Rows.erase(At);
+  this->Entries.erase(At);
 }
 
-void IdempotencyTable::finish(const ClaimId &Id, StoredResponse Answer) {
-  auto At = this->Rows.find(Id);
-  if (At == this->Rows.end())
+void IdempotencyTable::finish(const ClaimId &Id, StoredResponse Response) {
+  auto At = this->Entries.find(Id);
+  if (At == this->Entries.end())
     return;
   At->second.State = IdempotencyState::Done;
-  this->BodyBytes += Answer.Body.size();
-  At->second.Answer = std::move(Answer);
+  this->BodyBytes += Response.Body.size();
+  At->second.Response = std::move(Response);
   this->BodyOrder.push_back(Id);
-  // Over the bound, the oldest bodies go; that they ran stays known.
+  // Evict the oldest bodies above the limit; the requests stay recorded as run.
   while (this->BodyBytes > this->MaxBodyBytes &&
          this->BodyHead < this->BodyOrder.size()) {
-    auto Old = this->Rows.find(this->BodyOrder[this->BodyHead++]);
-    if (Old == this->Rows.end() || !Old->second.Answer)
+    auto Old = this->Entries.find(this->BodyOrder[this->BodyHead++]);
+    if (Old == this->Entries.end() || !Old->second.Response)
       continue;
-    this->BodyBytes -= Old->second.Answer->Body.size();
-    Old->second.Answer.reset();
+    this->BodyBytes -= Old->second.Response->Body.size();
+    Old->second.Response.reset();
     Old->second.State = IdempotencyState::Unknown;
   }
   if (this->BodyHead * 2 > this->BodyOrder.size()) {
@@ -85,25 +85,25 @@
 }
 
 void IdempotencyTable::finishUnknown(const ClaimId &Id) {
-  if (auto At = this->Rows.find(Id); At != this->Rows.end())
+  if (auto At = this->Entries.find(Id); At != this->Entries.end())
     At->second.State = IdempotencyState::Unknown;
 }
 
 void IdempotencyTable::markUnknown(const ClaimId &Id, WallMs Issued) {
-  auto [At, Fresh] = this->Rows.try_emplace(
-      Id, Row{IdempotencyState::Unknown, std::nullopt, Issued, std::nullopt});
+  auto [At, Fresh] = this->Entries.try_emplace(
+      Id, Entry{IdempotencyState::Unknown, std::nullopt, Issued, std::nullopt});
   if (Fresh)
     this->Ages.emplace(Issued, Id);
 }
 
 void IdempotencyTable::prune(WallMs Now) {
   while (!this->Ages.empty() &&
-         this->Ages.begin()->first.Value + KeepMs <= Now.Value) {
-    auto At = this->Rows.find(this->Ages.begin()->second);
-    if (At != this->Rows.end()) {
-      if (At->second.Answer)
-        this->BodyBytes -= At->second.Answer->Body.size();
-      this->Rows.erase(At);
+         this->Ages.begin()->first.Value + RetentionMs <= Now.Value) {
+    auto At = this->Entries.find(this->Ages.begin()->second);
+    if (At != this->Entries.end()) {
+      if (At->second.Response)
+        this->BodyBytes -= At->second.Response->Body.size();
+      this->Entries.erase(At);
     }
     this->Ages.erase(this->Ages.begin());
   }
--- a/src/policy/idempotency.h
+++ b/src/policy/idempotency.h
@@ -8,7 +8,8 @@
 
 namespace waycove {
 
-/// A whole answer kept for callers who ask again with the same key.
+/// A complete response, stored for callers who repeat a request with the same
+/// key.
 struct StoredResponse {
   int HttpStatus = 0;
   std::string ContentType;
@@ -17,61 +18,62 @@
 
 enum class IdempotencyState { Absent, Running, Done, Unknown };
 
-/// What a caller with a key is to do.
+/// What is known about the key of a request.
 struct IdempotencyLookup {
   IdempotencyState State{};
-  /// The key was used for a request with another content.
+  /// The key was used for a request with different content.
   bool Differs = false;
-  std::optional<StoredResponse> Answer;
+  std::optional<StoredResponse> Response;
 };
 
-/// Remembers the keyed requests that this daemon dispatched. An entry is made
-/// before the request is sent and stays for the key's whole validity window,
-/// so nothing is sent twice. Answers' bodies are bounded in sum; where one was
-/// let go, the outcome is unknown to later callers, never run again. Pure and
-/// not thread-safe.
+/// Records the keyed requests that this daemon dispatched. An entry is created
+/// before the request is sent and stays for the validity window of the key, so
+/// no request is sent twice. The total size of stored bodies is bounded; if a
+/// body was evicted, the outcome is unknown to later callers, and the request
+/// is not repeated. Not thread-safe.
 class IdempotencyTable {
 public:
   explicit IdempotencyTable(std::size_t MaxBodyBytes)
       : MaxBodyBytes(MaxBodyBytes) {}
 
   IdempotencyLookup find(const ClaimId &Id, std::uint64_t Fingerprint) const;
-  /// Marks \p Id as being dispatched. False if it is known already.
+  /// Marks \p Id as being dispatched. Returns false if it is already known.
   bool begin(const ClaimId &Id, std::uint64_t Fingerprint, WallMs Issued);
-  /// The attempt provably never reached a target: it may be begun again.
+  /// Removes \p Id after an attempt that certainly did not reach a target, so
+  /// that it may begin again.
   void abandon(const ClaimId &Id);
-  void finish(const ClaimId &Id, StoredResponse Answer);
+  void finish(const ClaimId &Id, StoredResponse Response);
   void finishUnknown(const ClaimId &Id);
-  /// \p Id is never to be dispatched here: whether another daemon did is not
-  /// known. What it was for does not matter.
+  /// Records that \p Id must not be dispatched here, since another daemon may
+  /// have done so.
   void markUnknown(const ClaimId &Id, WallMs Issued);
-  /// Forgets keys whose window passed as of \p Now, which must be behind both
-  /// the fold's clock and the wall's.
+  /// Removes keys whose window passed as of \p Now, which must be behind both
+  /// the clock of the fold and the wall clock.
   void prune(WallMs Now);
-  std::size_t size() const { return this->Rows.size(); }
+  std::size_t size() const { return this->Entries.size(); }
   std::size_t bodyBytes() const { return this->BodyBytes; }
 
 private:
-  struct Row {
+  struct Entry {
     IdempotencyState State{};
-    /// Nothing where the request was not seen here.
+    /// Empty if the request was not seen here.
     std::optional<std::uint64_t> Fingerprint;
     WallMs Issued;
-    std::optional<StoredResponse> Answer;
+    std::optional<StoredResponse> Response;
   };
   std::size_t MaxBodyBytes;
   std::size_t BodyBytes = 0;
-  std::unordered_map<ClaimId, Row, ClaimIdHash> Rows;
+  std::unordered_map<ClaimId, Entry, ClaimIdHash> Entries;
   std::multimap<WallMs, ClaimId> Ages;
   std::vector<ClaimId> BodyOrder;
   std::size_t BodyHead = 0;
 };
 
-/// Parts of an idempotency key. Callers write "<unix ms>-<anything>"; tickets
-/// read "t-<unix ms>-<incarnation>-<number>".
+/// Parts of an idempotency key. Callers send "<unix ms>-<anything>"; tickets
+/// are "t-<unix ms>-<incarnation>-<number>".
 struct IdempotencyKeyParts {
   WallMs Issued;
-  /// The daemon that minted the ticket; empty for a caller's own key.
+  /// The daemon that issued the ticket; empty for a caller's own key.
   IncarnationId Issuer;
 };
 
--- a/src/policy/labels.h
+++ b/src/policy/labels.h
@@ -14,18 +14,18 @@
 struct Label {
   std::string Key;
   std::string Value;
-  // The comparison that the compiler makes is no text of ours. NOLINTNEXTLINE
+  // Defaulted by the compiler. NOLINTNEXTLINE
   auto operator<=>(const Label &) const = default;
 };
 
-/// The labels of one VM, data centre or workspace; a key stands once.
+/// Labels of one VM, data centre or workspace. Keys are unique.
 class Labels {
 public:
-  /// Sets \p Key, in place of an earlier value.
+  /// Sets \p Key, replacing an earlier value.
   void set(const std::string &Key, const std::string &Value);
-  /// The value of \p Key, or null where it is not set.
+  /// Returns the value of \p Key, or null if it is not set.
   const std::string *find(const std::string &Key) const;
-  /// Adds what \p Other has and this has not.
+  /// Adds the labels of \p Other whose keys are not set here.
   void inherit(const Labels &Other);
   const std::vector<Label> &rows() const { return this->Rows; }
   bool operator==(const Labels &) const = default;
@@ -34,8 +34,8 @@
   std::vector<Label> Rows;
 };
 
-/// One condition: the label must be there, and its value be (or, negated, not
-/// be) one of the values.
+/// A condition on one label: it must be set, and its value must be (or, if
+/// negated, not be) one of the values.
 struct Requirement {
   std::string Key;
   std::vector<std::string> Values;
@@ -43,11 +43,11 @@
   bool operator==(const Requirement &) const = default;
 };
 
-/// All requirements must hold. A missing label never satisfies one, negated or
-/// not: what nobody has labelled is refused.
+/// A conjunction of requirements. A missing label never satisfies a
+/// requirement, negated or not, so that unlabelled objects are excluded.
 class Selector {
 public:
-  void require(Requirement Row) { this->Rows.push_back(std::move(Row)); }
+  void require(Requirement Added) { this->Rows.push_back(std::move(Added)); }
   /// Adds all requirements of \p Other.
   void narrow(const Selector &Other);
   bool matches(const Labels &Subject) const;
@@ -58,8 +58,8 @@
   std::vector<Requirement> Rows;
 };
 
-/// Reads what callers write: "residency=bc|on,tier!=public". Errors:
-/// BadRequest for an empty key or value, a doubled key, or over the bounds.
+/// Parses a selector of a caller, such as "residency=bc|on,tier!=public".
+/// Errors: BadRequest for an empty key or value, or if a limit is exceeded.
 absl::StatusOr<Selector> parseSelector(const std::string &Text);
 
 } // namespace waycove
--- a/src/policy/lease.h
+++ b/src/policy/lease.h
@@ -10,8 +10,8 @@
 
 namespace waycove {
 
-/// The latest of the times that it was given, on this machine's boot clock.
-/// Thread-safe.
+/// The latest of the times passed to raise(), on the boot clock of this
+/// machine. Thread-safe.
 class LatestTime {
 public:
   void raise(TimePoint To) {
@@ -29,14 +29,14 @@
   std::atomic<std::int64_t> At{0};
 };
 
-/// A time until which something holds, on this machine's boot clock. It is
-/// counted from when the question was sent, never from when its answer came:
-/// whoever answered may have answered long ago. Thread-safe.
+/// A lease that holds until some time on the boot clock of this machine. It is
+/// counted from when the request was sent, since the response may be delayed.
+/// Thread-safe.
 class Lease {
 public:
-  /// Prolongs to \p SentAt + \p Time; never shortens.
-  void renew(TimePoint SentAt, Millis Time) {
-    this->Until.raise(SentAt + Time);
+  /// Extends the lease to \p SentAt + \p Duration; never shortens it.
+  void renew(TimePoint SentAt, Millis Duration) {
+    this->Until.raise(SentAt + Duration);
   }
   void drop() { this->Until.reset(); }
   bool holds(TimePoint Now) const { return Now < this->Until.get(); }
--- a/src/policy/links.h
+++ b/src/policy/links.h
@@ -11,23 +11,23 @@
 
 namespace waycove {
 
-/// What link choice needs to know of a live daemon.
+/// A live daemon, as link selection needs it.
 struct Member {
   NodeHash Node;
   DataCentreId DataCentre;
 };
 
-/// The daemons that carry a data centre's traffic to other data centres: the
+/// Returns the daemons that relay traffic between a data centre and others: the
 /// two best by rendezvous hashing.
 std::vector<NodeHash> relaysOf(std::span<const Member> Live,
                                const DataCentreId &DataCentre);
 
-/// The peers to which \p Self opens links. Within a data centre the members
-/// stand on a ring by hash, and each links to its successor and to a chord
-/// of about a square root of the ring, so news takes few hops and nobody has
-/// more than a handful of links. Relays besides link to the relays of the
-/// next data centre and of one further on. The graph over all members is
-/// connected whenever the members are the same everywhere.
+/// Returns the peers that \p Self opens links to. Within a data centre the
+/// members form a ring ordered by hash, and each links to its successor and to
+/// a chord of about the square root of the ring size, which keeps both hops and
+/// links per node low. Relays also link to the relays of the next data centre
+/// and of one further along. The graph is connected if all members have the
+/// same view.
 std::vector<NodeHash> chooseLinks(NodeHash Self, std::span<const Member> Live);
 
 } // namespace waycove
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -9,7 +9,7 @@
 namespace waycove {
 
 void TargetLoad::add(const TargetLoad &Other) {
-  // Answers that move show more than requests that wait.
+  // Responses in progress tell more than requests that wait.
   if (this->InFlight == 0 || (this->Responding == 0 && Other.Responding > 0))
     this->SilentFor = Other.SilentFor;
   else if (Other.InFlight > 0 &&
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -11,105 +11,107 @@
 
 namespace waycove {
 
-/// Hash of a target's life, as nodes name it to each other.
+/// Hash of a target's incarnation; identifies targets in reports between nodes.
 using TargetHash = Number<struct TargetHashTag>;
 
 inline TargetHash hashOf(const VmIncarnation &Target) {
   return TargetHash(hashText(Target.Id.Text, Target.StartedAt.Value));
 }
 
-/// How one target looks from some nodes, summed up.
+/// The load of one target as observed by a set of nodes.
 struct TargetLoad {
-  /// Their requests that run or wait there.
+  /// Their requests in flight.
   unsigned InFlight = 0;
-  /// Of these, how many get their answer already.
+  /// Of these, requests whose response has begun.
   unsigned Responding = 0;
-  /// Prompt tokens that no answer has begun for.
+  /// Prompt tokens of requests whose response has not begun.
   double PromptWaiting = 0;
-  /// Time since any of them got something, or since the first request was
-  /// sent; where answers are under way, of these alone.
+  /// Time since any of them received a byte, or since the first request was
+  /// sent. If responses have begun, only these count.
   Millis SilentFor{0};
-  /// Longest time that one waits for its first byte.
+  /// Longest time that a request has waited for its first byte.
   Millis LongestWait{0};
-  /// Smoothed time to the first byte, in milliseconds; 0 for not known.
+  /// Smoothed first-byte time in milliseconds; 0 if unknown.
   double FirstByteMs = 0;
-  /// How long one of them still gives it no new work.
+  /// How long one of them still regards it as suspect.
   Millis SuspectFor{0};
 
-  /// Adds what other nodes see.
+  /// Adds the observations of other nodes.
   void add(const TargetLoad &Other);
-  /// Answers are under way, and none of them moves.
+  /// Responses are in progress and none receives bytes.
   bool isStalled() const;
-  /// Answers are under way, and some move.
+  /// Responses are in progress and some receive bytes.
   bool hasProgress() const;
 };
 
 using TargetLoads = std::unordered_map<TargetHash, TargetLoad>;
 
-/// What other nodes see counts this long: a few rounds of news.
+/// Reports of other nodes expire after this time, a few report intervals.
 inline constexpr Millis ReportMaxAge(900);
 
-/// Silence on all answers under way that means standing still. Measured:
-/// events come up to 180 ms apart on a busy engine.
+/// Silence on all responses in progress after which a target counts as stalled.
+/// Exceeds the usual gap between events of a busy engine.
 inline constexpr Millis StallTimeout(320);
 
-/// What other nodes tell, summed up: each node tells the one that it reads from
-/// what it counts itself and was told by those that read from it, and is told
-/// the sum of all others. \p Rows maps keys to what has add(). Not thread-safe.
+/// Sums the reports of other nodes. Each node reports the sum of its own rows
+/// and those of its readers to its upstream node, which returns the sum of all
+/// others. \p Rows maps keys to values with add(). Not thread-safe.
 template <typename Rows> class ReportAggregator {
 public:
-  /// Another node of this data centre told what it and those that read from it
-  /// see.
-  void addReport(const NodeId &From, Rows Told, TimePoint Now) {
-    this->Reports[From] = {std::move(Told), Now, false};
+  /// Sets the report of a node of this data centre: its own rows and those of
+  /// its readers.
+  void addReport(const NodeId &From, Rows Values, TimePoint Now) {
+    this->Reports[From] = {std::move(Values), Now, false};
   }
-  /// The reader of another data centre told what that one's nodes see.
-  void addCentreReport(const NodeId &From, Rows Told, TimePoint Now) {
-    this->Reports[From] = {std::move(Told), Now, true};
+  /// Sets the report of another data centre's nodes.
+  void addCentreReport(const NodeId &From, Rows Values, TimePoint Now) {
+    this->Reports[From] = {std::move(Values), Now, true};
   }
-  /// The node that this one reads from told what all others see.
-  void setUpstreamReport(Rows Told, TimePoint Now) {
-    this->Told = {std::move(Told), Now, false};
+  /// Sets the report of the upstream node: the sum of all others.
+  void setUpstreamReport(Rows Values, TimePoint Now) {
+    this->Upstream = {std::move(Values), Now, false};
   }
 
-  /// What this data centre sees as far as it was told here, with \p Own.
+  /// Returns the sum of \p Own and the reports of this data centre received
+  /// here.
   Rows sumForUpstream(const Rows &Own, TimePoint Now) const {
     Rows Sum = Own;
     for (const auto &[Node, Row] : this->Reports)
       if (!Row.OtherCentre && Now - Row.At < ReportMaxAge)
-        addAll(Sum, Row.Told);
+        addAll(Sum, Row.Values);
     return Sum;
   }
-  /// What all but \p Asker see.
-  Rows sumForReader(const Rows &Own, const NodeId &Asker, TimePoint Now) const {
+  /// Returns the sum of \p Own and all reports except that of \p Reader.
+  Rows sumForReader(const Rows &Own, const NodeId &Reader,
+                    TimePoint Now) const {
     Rows Sum = Own;
     for (const auto &[Node, Row] : this->Reports)
-      if (Node != Asker && Now - Row.At < ReportMaxAge)
-        addAll(Sum, Row.Told);
-    if (Now - this->Told.At < ReportMaxAge)
-      addAll(Sum, this->Told.Told);
+      if (Node != Reader && Now - Row.At < ReportMaxAge)
+        addAll(Sum, Row.Values);
+    if (Now - this->Upstream.At < ReportMaxAge)
+      addAll(Sum, this->Upstream.Values);
     return Sum;
   }
-  /// What all other nodes see.
+  /// Returns the sum of all other nodes.
   Rows sumOfOthers(TimePoint Now) const {
     return this->sumForReader({}, NodeId(), Now);
   }
 
 private:
   struct Report {
-    Rows Told;
+    Rows Values;
     TimePoint At;
     bool OtherCentre = false;
   };
-  static void addAll(Rows &Into, const Rows &More) {
-    for (const auto &[Key, Row] : More)
-      Into[Key].add(Row);
+  static void addAll(Rows &Sum, const Rows &Other) {
+    for (const auto &[Key, Row] : Other)
+      Sum[Key].add(Row);
   }
   std::map<NodeId, Report> Reports;
-  Report Told;
+  Report Upstream;
 };
 
-/// What nodes see of targets.
+/// Reports of target loads.
 using TargetLoadReports = ReportAggregator<TargetLoads>;
 
 } // namespace waycove
--- a/src/policy/node_rank.cpp
+++ b/src/policy/node_rank.cpp
@@ -10,16 +10,15 @@
 
 namespace {
 
-/// How many nodes ask one. Measured on 300 machines: 99 askers took all of a
-/// small node's processor and memory; each takes some 0.1% of a core.
-constexpr std::size_t Askers = 12;
-/// The same where the link takes what they need in a tenth of a second: 24
-/// times 0.1 MB. Nodes with such links have the processor for it, too.
-constexpr std::size_t FastAskers = 24;
+/// Nodes that one node serves, bounded by the processor and memory of small
+/// machines.
+constexpr std::size_t ReadersPerNode = 12;
+/// The same for nodes with links of at least FastMbps.
+constexpr std::size_t FastLinkReaders = 24;
 constexpr std::uint32_t FastMbps = 200;
 
-std::size_t askersOf(const NodeInfo &Node) {
-  return Node.LinkMbps >= FastMbps ? FastAskers : Askers;
+std::size_t maxReadersOf(const NodeInfo &Node) {
+  return Node.LinkMbps >= FastMbps ? FastLinkReaders : ReadersPerNode;
 }
 
 } // namespace
@@ -27,9 +26,9 @@
 std::vector<NodeInfo> readerOrder(const NodeTable &Nodes,
                                   const DataCentreId &Centre) {
   std::vector<std::pair<std::uint64_t, const NodeInfo *>> Order;
-  for (const auto &[Id, Row] : Nodes)
-    if (Row.DataCentre == Centre)
-      Order.emplace_back(hashText(Id.Text, hashText(Centre.Text)), &Row);
+  for (const auto &[Id, Info] : Nodes)
+    if (Info.DataCentre == Centre)
+      Order.emplace_back(hashText(Id.Text, hashText(Centre.Text)), &Info);
   std::sort(Order.begin(), Order.end(),
             [](const auto &Left, const auto &Right) {
               if (Left.second->LinkMbps != Right.second->LinkMbps)
@@ -38,47 +37,49 @@
                          ? Left.first < Right.first
                          : Left.second->Node < Right.second->Node;
             });
-  std::vector<NodeInfo> Rows;
-  Rows.reserve(Order.size());
-  for (const auto &[Hash, Row] : Order)
-    Rows.push_back(*Row);
-  return Rows;
+  std::vector<NodeInfo> Result;
+  Result.reserve(Order.size());
+  for (const auto &[Hash, Info] : Order)
+    Result.push_back(*Info);
+  return Result;
 }
 
 std::optional<std::size_t> upstreamPlace(const std::vector<NodeInfo> &Order,
                                          std::size_t Place) {
   if (Place == 0)
     return std::nullopt;
-  std::size_t Asked = 0;
-  for (std::size_t End = 1 + askersOf(Order[0]); End <= Place; ++Asked)
-    End += askersOf(Order[Asked + 1]);
-  return Asked;
+  std::size_t Upstream = 0;
+  for (std::size_t End = 1 + maxReadersOf(Order[0]); End <= Place; ++Upstream)
+    End += maxReadersOf(Order[Upstream + 1]);
+  return Upstream;
 }
 
 std::vector<DataCentreId> dataCentreOrder(const NodeTable &Nodes) {
   std::map<std::pair<std::uint64_t, DataCentreId>, DataCentreId> Order;
-  for (const auto &[Id, Row] : Nodes)
-    Order[{hashText(Row.DataCentre.Text), Row.DataCentre}] = Row.DataCentre;
-  std::vector<DataCentreId> Rows;
-  Rows.reserve(Order.size());
+  for (const auto &[Id, Info] : Nodes)
+    Order[{hashText(Info.DataCentre.Text), Info.DataCentre}] = Info.DataCentre;
+  std::vector<DataCentreId> Result;
+  Result.reserve(Order.size());
   for (const auto &[Place, Centre] : Order)
-    Rows.push_back(Centre);
-  return Rows;
+    Result.push_back(Centre);
+  return Result;
 }
 
 void NodeBackoff::onFailure(const NodeId &Node, TimePoint Now) {
-  Row &At = this->Rows[Node];
-  At.Pause = At.Pause.count() == 0 ? Least : std::min(2 * At.Pause, Most);
-  At.Until = Now + At.Pause;
+  Entry &Failed = this->Entries[Node];
+  Failed.Delay = Failed.Delay.count() == 0
+                     ? MinDelay
+                     : std::min(2 * Failed.Delay, MaxDelay);
+  Failed.Until = Now + Failed.Delay;
 }
 
 void NodeBackoff::backOffUntil(const NodeId &Node, TimePoint Until) {
-  this->Rows[Node].Until = Until;
+  this->Entries[Node].Until = Until;
 }
 
 bool NodeBackoff::isBackedOff(const NodeId &Node, TimePoint Now) const {
-  auto At = this->Rows.find(Node);
-  return At != this->Rows.end() && Now < At->second.Until;
+  auto At = this->Entries.find(Node);
+  return At != this->Entries.end() && Now < At->second.Until;
 }
 
 } // namespace waycove
--- a/src/policy/objects.cpp
+++ b/src/policy/objects.cpp
@@ -18,12 +18,12 @@
 constexpr std::uint64_t MaxKvTokens = 1'000'000'000'000;
 constexpr std::size_t DigestChars = 40;
 
-struct KindRow {
+struct KindName {
   ObjectKind Kind;
   const char *Name;
 };
 
-constexpr std::array<KindRow, 6> Kinds{{
+constexpr std::array<KindName, 6> Kinds{{
     {ObjectKind::Deployment, "deployment"},
     {ObjectKind::Service, "service"},
     {ObjectKind::Workspace, "workspace"},
@@ -64,8 +64,8 @@
   return Result;
 }
 
-/// Deployments and services say which workspaces may use them; saying nothing
-/// would mean "anyone", so the field has to be there.
+/// Reads the workspaces that may use a deployment or service. The field is
+/// required, since its absence would mean "anyone".
 Selector readWorkspaces(YamlMap &Spec, ValidationErrors &Found) {
   Selector Result;
   Spec.child("workspaces", true);
@@ -146,9 +146,9 @@
 } // namespace
 
 std::uint64_t Deployment::replicasIn(const DataCentreId &DataCentre) const {
-  for (const ReplicaCount &Row : this->Replicas)
-    if (Row.DataCentre == DataCentre)
-      return Row.Replicas;
+  for (const ReplicaCount &Count : this->Replicas)
+    if (Count.DataCentre == DataCentre)
+      return Count.Replicas;
   return 0;
 }
 
@@ -157,9 +157,9 @@
 }
 
 std::optional<ObjectKind> kindFromName(const std::string &Name) {
-  for (const KindRow &Row : Kinds)
-    if (Row.Name == Name)
-      return Row.Kind;
+  for (const KindName &Entry : Kinds)
+    if (Entry.Name == Name)
+      return Entry.Kind;
   return std::nullopt;
 }
 
@@ -224,9 +224,9 @@
   std::vector<Object> Result;
   try {
     for (const YAML::Node &Document : loadYaml(Text, Found)) {
-      Object Row = parseObject(Document, Found);
-      Row.Body = YAML::Dump(Document);
-      Result.push_back(std::move(Row));
+      Object Parsed = parseObject(Document, Found);
+      Parsed.Body = YAML::Dump(Document);
+      Result.push_back(std::move(Parsed));
     }
   } catch (const YAML::Exception &Error) {
     Found.Errors.push_back({File, 1, "file", "YAML: " + Error.msg});
--- a/src/policy/objects.h
+++ b/src/policy/objects.h
@@ -13,19 +13,19 @@
 
 namespace waycove {
 
-/// How many replicas a deployment keeps in one data centre.
+/// Number of replicas of a deployment in one data centre.
 struct ReplicaCount {
   DataCentreId DataCentre;
   std::uint64_t Replicas = 0;
 };
 
-/// A model that is served by groups of VMs.
+/// A model served by groups of VMs.
 struct Deployment {
   std::string Model;
   std::string Version;
   std::uint64_t VmsPerReplica = 4;
   std::uint64_t SlotsPerReplica = 8;
-  /// Tokens of context that one replica's cache holds; zero for not said.
+  /// Tokens that the KV cache of one replica holds; zero if not specified.
   std::uint64_t KvTokensPerReplica = 0;
   std::vector<ReplicaCount> Replicas;
   Selector Match;
@@ -35,7 +35,7 @@
   std::uint64_t replicasIn(const DataCentreId &DataCentre) const;
 };
 
-/// A plain HTTP endpoint that single VMs serve.
+/// A plain HTTP endpoint served by single VMs.
 struct Service {
   Selector Match;
   Selector Workspaces;
@@ -43,7 +43,7 @@
   std::vector<std::string> RepeatableMethods;
 };
 
-/// A customer: who it is, its share, and where its requests may land.
+/// A customer: its key, its weight, and where its requests may run.
 struct Workspace {
   std::string KeyDigest;
   std::uint64_t Weight = 1;
@@ -52,12 +52,12 @@
   std::vector<std::string> Selectors;
 };
 
-/// A selector with a name, for others to refer to.
+/// A named selector that other objects refer to.
 struct NamedSelector {
   Selector Match;
 };
 
-/// VMs that get no new work.
+/// VMs that receive no new requests.
 struct Drain {
   std::vector<VmId> Vms;
   std::optional<Selector> Match;
@@ -83,17 +83,17 @@
 struct ObjectKey {
   ObjectKind Kind{};
   std::string Name;
-  // The comparison that the compiler makes is no text of ours. NOLINTNEXTLINE
+  // Defaulted by the compiler. NOLINTNEXTLINE
   auto operator<=>(const ObjectKey &) const = default;
   std::string text() const;
 };
 
-/// One published object. Revision is the offset of the record that brought
-/// it, plus one, so that zero means "not there".
+/// A published object. Revision is one more than the offset of its record, so
+/// that zero means "does not exist".
 struct Object {
   ObjectKey Key;
   std::uint64_t Revision = 0;
-  /// When its record was written, by the writer's clock.
+  /// When its record was written, by the clock of the writer.
   WallMs Written;
   std::string Body;
   std::variant<Deployment, Service, Workspace, NamedSelector, Drain, DataCentre>
@@ -106,14 +106,14 @@
 
 using ObjectRef = std::shared_ptr<const Object>;
 
-/// Validates one YAML document; all mistakes go to \p Found, and the result
-/// is to be used only where that stayed empty.
+/// Parses and validates one YAML document. All errors are added to \p Found,
+/// and the result is valid only if there are none.
 Object parseObject(const YAML::Node &Document, ValidationErrors &Found);
-/// Validates a whole file of documents.
+/// Parses and validates all documents of a file.
 std::vector<Object> parseObjects(const std::string &File,
                                  const std::string &Text,
                                  ValidationErrors &Found);
-/// What `key_digest` holds for a workspace whose callers send \p Key.
+/// Returns the `key_digest` of a workspace whose callers send \p Key.
 std::string digestKey(const std::string &Key);
 
 } // namespace waycove
--- a/src/policy/partition_membership.cpp
+++ b/src/policy/partition_membership.cpp
@@ -12,90 +12,90 @@
 
 constexpr std::size_t SpareMembers = 1;
 
+/// The place of this node among the nodes and members of its data centre.
 struct Standing {
-  /// Of the nodes before this one, those that are members and those that are
-  /// not.
+  /// Nodes before this one in the order.
   std::size_t MembersBefore = 0;
   std::size_t OthersBefore = 0;
   std::size_t Members = 0;
   bool Listed = false;
 };
 
-Standing standingOf(const PartitionMembership::Input &Given) {
-  Standing Row;
-  for (const NodeInfo &Node : Given.Order) {
-    if (Node.Node == Given.Me) {
-      Row.Listed = true;
+Standing findStanding(const PartitionMembership::Input &In) {
+  Standing Result;
+  for (const NodeInfo &Node : In.Order) {
+    if (Node.Node == In.Me) {
+      Result.Listed = true;
       continue;
     }
-    bool Fresh = Given.Renewals.isMember(memberHash(Node.Node), Given.Now);
-    Row.Members += Fresh ? 1 : 0;
-    if (!Row.Listed)
-      ++(Fresh ? Row.MembersBefore : Row.OthersBefore);
+    bool IsMember = In.Renewals.isMember(memberHash(Node.Node), In.Now);
+    Result.Members += IsMember ? 1 : 0;
+    if (!Result.Listed)
+      ++(IsMember ? Result.MembersBefore : Result.OthersBefore);
   }
-  return Row;
+  return Result;
 }
 
 } // namespace
 
 void MembershipRenewals::record(MemberHash Node, TimePoint At) {
-  TimePoint &Last = this->Rows[Node];
+  TimePoint &Last = this->Renewals[Node];
   Last = std::max(Last, At);
 }
 
 bool MembershipRenewals::isMember(MemberHash Node, TimePoint Now) const {
-  auto At = this->Rows.find(Node);
-  return At != this->Rows.end() && Now - At->second < FreshTime;
+  auto At = this->Renewals.find(Node);
+  return At != this->Renewals.end() && Now - At->second < RenewalMaxAge;
 }
 
 std::vector<std::pair<MemberHash, Millis>>
 MembershipRenewals::currentAges(TimePoint Now) const {
   std::vector<std::pair<MemberHash, Millis>> Ages;
-  for (const auto &[Node, At] : this->Rows)
-    if (Now - At < FreshTime)
+  for (const auto &[Node, At] : this->Renewals)
+    if (Now - At < RenewalMaxAge)
       Ages.emplace_back(Node, std::chrono::ceil<Millis>(Now - At));
   return Ages;
 }
 
-std::size_t requiredMembers(std::uint64_t Parts, std::size_t Centres) {
-  std::size_t Each = std::max<std::size_t>(Centres, 1);
-  return (Parts + Each - 1) / Each + SpareMembers;
+std::size_t requiredMembers(std::uint64_t Partitions, std::size_t Centres) {
+  std::size_t Divisor = std::max<std::size_t>(Centres, 1);
+  return (Partitions + Divisor - 1) / Divisor + SpareMembers;
 }
 
-bool PartitionMembership::decide(const Input &Given) {
-  if (this->Member ? this->isSurplus(Given) : this->isDue(Given)) {
+bool PartitionMembership::decide(const Input &In) {
+  if (this->Member ? this->shouldLeave(In) : this->shouldJoin(In)) {
     this->Member = !this->Member;
-    this->ShortSince.reset();
+    this->ShortageSince.reset();
     this->EnoughSince.reset();
   }
   return this->Member;
 }
 
-bool PartitionMembership::isDue(const Input &Given) {
-  Standing Row = standingOf(Given);
-  if (Row.Listed && Row.Members >= Given.Wanted) {
-    this->ShortSince.reset();
+bool PartitionMembership::shouldJoin(const Input &In) {
+  Standing Result = findStanding(In);
+  if (Result.Listed && Result.Members >= In.Wanted) {
+    this->ShortageSince.reset();
     return false;
   }
-  Millis Short = std::chrono::duration_cast<Millis>(
-      Given.Now - this->ShortSince.value_or(Given.Now));
-  this->ShortSince = this->ShortSince.value_or(Given.Now);
-  if (!Row.Listed)
-    return Short >= UnlistedWait;
-  std::size_t Lacking = Given.Wanted - Row.Members;
-  if (Row.OthersBefore < Lacking)
+  Millis Shortage = std::chrono::duration_cast<Millis>(
+      In.Now - this->ShortageSince.value_or(In.Now));
+  this->ShortageSince = this->ShortageSince.value_or(In.Now);
+  if (!Result.Listed)
+    return Shortage >= UnlistedJoinDelay;
+  std::size_t Missing = In.Wanted - Result.Members;
+  if (Result.OthersBefore < Missing)
     return true;
-  auto Place = static_cast<int>(Row.OthersBefore - Lacking);
-  return Short >= DeputyWait + PlaceWait * Place;
+  auto Place = static_cast<int>(Result.OthersBefore - Missing);
+  return Shortage >= JoinDelay + PlaceDelay * Place;
 }
 
-bool PartitionMembership::isSurplus(const Input &Given) {
-  if (Given.HoldsPartitions || standingOf(Given).MembersBefore < Given.Wanted) {
+bool PartitionMembership::shouldLeave(const Input &In) {
+  if (In.HoldsPartitions || findStanding(In).MembersBefore < In.Wanted) {
     this->EnoughSince.reset();
     return false;
   }
-  this->EnoughSince = this->EnoughSince.value_or(Given.Now);
-  return Given.Now - *this->EnoughSince >= SurplusWait;
+  this->EnoughSince = this->EnoughSince.value_or(In.Now);
+  return In.Now - *this->EnoughSince >= LeaveDelay;
 }
 
 } // namespace waycove
--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Orders the candidates differently for each slot, so that controllers that
-/// plan at the same time seldom want the same VM.
+/// plan concurrently rarely choose the same VM.
 void shuffleFor(std::vector<PlanVm> &Rows, const SlotKey &Place) {
   std::uint64_t Seed =
       mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
@@ -21,12 +21,13 @@
       });
 }
 
-/// The domain that \p Need VMs fill best: least room left over, so that large
-/// gaps stay whole for others. The slot's hash breaks ties.
+/// Returns the domain that \p Need VMs fit best: the one with the fewest free
+/// VMs left over, to avoid fragmentation. Ties are broken by the hash of the
+/// slot.
 std::optional<DomainId> chooseDomain(const PlanPool &Pool, std::size_t Need,
                                      const SlotKey &Place, bool FirstFit) {
   std::optional<DomainId> Best;
-  std::size_t BestLeft = 0;
+  std::size_t BestRest = 0;
   std::uint64_t BestTie = 0;
   std::uint64_t Seed =
       mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
@@ -36,11 +37,11 @@
       continue;
     if (FirstFit)
       return Domain;
-    std::size_t Left = (Room - Need) % Need;
+    std::size_t Rest = (Room - Need) % Need;
     std::uint64_t Tie = hashText(Domain.Text, Seed);
-    if (!Best || Left < BestLeft || (Left == BestLeft && Tie < BestTie)) {
+    if (!Best || Rest < BestRest || (Rest == BestRest && Tie < BestTie)) {
       Best = Domain;
-      BestLeft = Left;
+      BestRest = Rest;
       BestTie = Tie;
     }
   }
@@ -54,13 +55,13 @@
     if (Row.Usable && Row.Group == Fence())
       this->Free[Row.Domain].push_back(Row.Vm);
     VmId Vm = Row.Vm;
-    this->Rows.emplace(std::move(Vm), std::move(Row));
+    this->Vms.emplace(std::move(Vm), std::move(Row));
   }
 }
 
 const PlanVm *PlanPool::find(const VmId &Vm) const {
-  auto At = this->Rows.find(Vm);
-  return At == this->Rows.end() ? nullptr : &At->second;
+  auto At = this->Vms.find(Vm);
+  return At == this->Vms.end() ? nullptr : &At->second;
 }
 
 void PlanPool::take(const VmId &Vm) {
@@ -78,7 +79,7 @@
   std::vector<PlanVm> Found;
   if (auto At = this->Free.find(Domain); At != this->Free.end())
     for (const VmId &Vm : At->second)
-      Found.push_back(this->Rows.at(Vm));
+      Found.push_back(this->Vms.at(Vm));
   return Found;
 }
 
@@ -99,28 +100,29 @@
                                  RepairPolicy Policy, bool Release) {
   std::size_t Need = Spec.VmsPerReplica;
   Proposal Plan{Place, Present ? Present->Id : Fence(), DomainId(), {}};
-  // 1. Who of the present group may stay?
-  std::vector<PlanVm> Stay;
+  // 1. Find the usable members of the present group.
+  std::vector<PlanVm> Remaining;
   if (Present)
     for (const VmId &Vm : Present->Vms)
       if (const PlanVm *Row = Pool.find(Vm); Row && Row->Usable)
-        Stay.push_back(*Row);
-  if (Present && Stay.size() == Need && Present->Vms.size() == Need)
+        Remaining.push_back(*Row);
+  if (Present && Remaining.size() == Need && Present->Vms.size() == Need)
     return std::nullopt;
-  // 2. Fill up in the same domain, keeping what is loaded.
-  if (Present && Policy == RepairPolicy::KeepMembers && !Stay.empty() &&
-      Pool.freeCount(Present->Domain) + Stay.size() >= Need) {
+  // 2. Complete the group within its domain, where members have the model
+  // loaded.
+  if (Present && Policy == RepairPolicy::KeepMembers && !Remaining.empty() &&
+      Pool.freeCount(Present->Domain) + Remaining.size() >= Need) {
     std::vector<PlanVm> Spares = Pool.freeIn(Present->Domain);
     shuffleFor(Spares, Place);
-    if (Stay.size() > Need)
-      Stay.resize(Need);
+    if (Remaining.size() > Need)
+      Remaining.resize(Need);
     Plan.Domain = Present->Domain;
-    Plan.Vms = Stay;
+    Plan.Vms = Remaining;
     for (const PlanVm &Row : Spares)
       if (Plan.Vms.size() < Need)
         Plan.Vms.push_back(Row);
   }
-  // 3. Otherwise a domain with room for all.
+  // 3. Otherwise choose a domain with room for the whole group.
   if (Plan.Vms.empty())
     if (auto Domain =
             chooseDomain(Pool, Need, Place, Policy == RepairPolicy::Naive)) {
--- a/src/policy/plan.h
+++ b/src/policy/plan.h
@@ -8,56 +8,57 @@
 
 namespace waycove {
 
-/// What group planning knows of one VM.
+/// A VM, as group planning sees it.
 struct PlanVm {
   VmId Vm;
   DomainId Domain;
-  /// Listed as live, not leaving or drained, answering, and labelled for the
+  /// Listed as live, not leaving or drained, responding, and labelled for the
   /// deployment.
   bool Usable = false;
   std::uint64_t Stamp = 0;
   Fence Group;
 };
 
-/// The VMs of one data centre, indexed for planning: free usable ones by
-/// domain.
+/// The VMs of one data centre, with an index of the free usable ones by domain.
 class PlanPool {
 public:
-  explicit PlanPool(std::vector<PlanVm> Rows);
+  explicit PlanPool(std::vector<PlanVm> Source);
   const PlanVm *find(const VmId &Vm) const;
-  /// Takes \p Vm out, so that one planning round gives it once only.
+  /// Removes \p Vm from the free ones, so that a planning round uses it only
+  /// once.
   void take(const VmId &Vm);
-  /// Free usable VMs of \p Domain.
+  /// Returns the free usable VMs of \p Domain.
   std::vector<PlanVm> freeIn(const DomainId &Domain) const;
   std::size_t freeCount(const DomainId &Domain) const;
-  /// Domains with free VMs.
+  /// Returns the domains with free VMs.
   std::vector<DomainId> domains() const;
 
 private:
-  std::unordered_map<VmId, PlanVm> Rows;
+  std::unordered_map<VmId, PlanVm> Vms;
   std::map<DomainId, std::vector<VmId>> Free;
 };
 
+/// A proposed change of the group of one slot.
 struct Proposal {
   SlotKey Place;
   Fence Replaces;
   DomainId Domain;
-  /// Empty: dissolve only.
+  /// Empty to dissolve the group only.
   std::vector<PlanVm> Vms;
 };
 
 /// How a group that lost members is repaired.
 enum class RepairPolicy {
-  /// Takes the first domain with room, and starts from nothing.
+  /// Uses the first domain with enough free VMs and retains no members.
   Naive,
-  /// Keeps the members that still live and takes spares from their domain; if
-  /// it has none, moves to the domain that it fills best.
+  /// Retains the live members and adds spares of their domain. If there are too
+  /// few, moves the group to the domain that it fits best.
   KeepMembers,
 };
 
-/// What to do about one slot; nothing where its group is whole, or where no
-/// domain has room. A group that cannot be made whole keeps its VMs only if no
-/// other use for them exists, so it is dissolved when \p Release says so.
+/// Plans one slot. Returns nothing if its group is complete or no domain has
+/// enough free VMs. A group that cannot be completed is dissolved only if \p
+/// Release is set, that is, if its VMs are needed elsewhere.
 std::optional<Proposal> planSlot(const SlotKey &Place, const Deployment &Spec,
                                  const Group *Present, PlanPool &Pool,
                                  RepairPolicy Policy, bool Release = false);
--- a/src/policy/rendezvous.cpp
+++ b/src/policy/rendezvous.cpp
@@ -24,17 +24,17 @@
 
 std::vector<NodeHash> rendezvousTop(std::span<const NodeHash> Members,
                                     std::uint64_t Key, std::size_t Count) {
-  std::vector<NodeHash> Rows(Members.begin(), Members.end());
-  Count = std::min(Count, Rows.size());
-  auto Middle = Rows.begin() + static_cast<std::ptrdiff_t>(Count);
-  std::partial_sort(Rows.begin(), Middle, Rows.end(),
+  std::vector<NodeHash> Ranked(Members.begin(), Members.end());
+  Count = std::min(Count, Ranked.size());
+  auto Middle = Ranked.begin() + static_cast<std::ptrdiff_t>(Count);
+  std::partial_sort(Ranked.begin(), Middle, Ranked.end(),
                     [&](const NodeHash &Left, const NodeHash &Right) {
                       std::uint64_t L = mixHash(Left.Value, Key);
                       std::uint64_t R = mixHash(Right.Value, Key);
                       return L != R ? L > R : Left > Right;
                     });
-  Rows.resize(Count);
-  return Rows;
+  Ranked.resize(Count);
+  return Ranked;
 }
 
 NodeHash hashNode(const NodeId &Node, const IncarnationId &Incarnation) {
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -11,14 +11,14 @@
 
 namespace waycove {
 
-/// The member that owns \p Key, by rendezvous hashing: all who see the same
-/// members agree, and a member that goes moves only its own keys. Zero where
+/// Returns the member that owns \p Key by rendezvous hashing: all nodes with
+/// the same members agree, and only the keys of a removed member move. Zero if
 /// there are no members.
 NodeHash rendezvousOwner(std::span<const NodeHash> Members, std::uint64_t Key);
-/// The \p Count best members for \p Key, best first.
+/// Returns the \p Count best members for \p Key, best first.
 std::vector<NodeHash> rendezvousTop(std::span<const NodeHash> Members,
                                     std::uint64_t Key, std::size_t Count);
-/// What heartbeats call a daemon's incarnation.
+/// Hash that identifies an incarnation of a daemon in heartbeats.
 NodeHash hashNode(const NodeId &Node, const IncarnationId &Incarnation);
 
 } // namespace waycove
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -13,23 +13,24 @@
 
 constexpr double EarnedPerAttempt = 0.1;
 constexpr double EarnedPerSecond = 2;
-constexpr double MostBalance = 100;
+constexpr double MaxBalance = 100;
 constexpr unsigned MaxAttempts = 4;
 
-/// What an attempt's end says about the target having run the request.
-struct EndRow {
-  AttemptOutcome End;
+/// What the outcome of an attempt tells about execution at the target.
+struct OutcomeInfo {
+  AttemptOutcome Outcome;
   bool Sent;
   ErrorKind Kind;
 };
 
-constexpr std::array<EndRow, static_cast<std::size_t>(AttemptOutcome::Count)>
-    Ends{{{AttemptOutcome::Done, true, ErrorKind::Internal},
-          {AttemptOutcome::NotSent, false, ErrorKind::NoCapacity},
-          {AttemptOutcome::Refused, false, ErrorKind::TargetBusy},
-          {AttemptOutcome::Broken, true, ErrorKind::OutcomeUnknown},
-          {AttemptOutcome::Stalled, true, ErrorKind::OutcomeUnknown},
-          {AttemptOutcome::CallerGone, true, ErrorKind::OutcomeUnknown}}};
+constexpr std::array<OutcomeInfo,
+                     static_cast<std::size_t>(AttemptOutcome::Count)>
+    Outcomes{{{AttemptOutcome::Done, true, ErrorKind::Internal},
+              {AttemptOutcome::NotSent, false, ErrorKind::NoCapacity},
+              {AttemptOutcome::Refused, false, ErrorKind::TargetBusy},
+              {AttemptOutcome::Broken, true, ErrorKind::OutcomeUnknown},
+              {AttemptOutcome::Stalled, true, ErrorKind::OutcomeUnknown},
+              {AttemptOutcome::CallerGone, true, ErrorKind::OutcomeUnknown}}};
 
 } // namespace
 
@@ -39,7 +40,7 @@
   if (this->Last != TimePoint())
     Earned += Seconds * EarnedPerSecond;
   this->Last = Now;
-  this->Balance = std::min(this->Balance + Earned, MostBalance);
+  this->Balance = std::min(this->Balance + Earned, MaxBalance);
 }
 
 bool RetryBudget::take() {
@@ -52,20 +53,20 @@
 RetryDecision decideRetry(const AttemptFacts &Facts, RetryBudget &Budget) {
   if (Facts.End == AttemptOutcome::Done)
     return {RetryChoice::Finish, ErrorKind::Internal};
-  const EndRow &Row = Ends[static_cast<std::size_t>(Facts.End)];
-  bool MayHaveRun = Facts.MayHaveRun || Row.Sent;
-  // 1. The honest answer, should this be the end.
-  ErrorKind Kind = MayHaveRun ? ErrorKind::OutcomeUnknown : Row.Kind;
+  const OutcomeInfo &Info = Outcomes[static_cast<std::size_t>(Facts.End)];
+  bool MayHaveRun = Facts.MayHaveRun || Info.Sent;
+  // 1. The error to return if there is no retry.
+  ErrorKind Kind = MayHaveRun ? ErrorKind::OutcomeUnknown : Info.Kind;
   if (Facts.DeadlinePassed)
     Kind = MayHaveRun ? (Facts.Repeatable ? ErrorKind::DeadlineAfterRun
                                           : ErrorKind::OutcomeUnknown)
                       : ErrorKind::DeadlineBeforeRun;
   if (Facts.End == AttemptOutcome::CallerGone || Facts.DeadlinePassed)
     return {RetryChoice::Fail, Kind};
-  // 2. May it be sent again at all?
+  // 2. Is a retry safe?
   if (MayHaveRun && !Facts.Repeatable)
     return {RetryChoice::Fail, Kind};
-  // 3. Is it worth it?
+  // 3. Do the attempts and the budget allow one?
   if (Facts.Attempts >= MaxAttempts || !Budget.take())
     return {RetryChoice::Fail, MayHaveRun ? ErrorKind::TargetFailed : Kind};
   return {RetryChoice::Retry, Kind};
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -8,31 +8,31 @@
 
 namespace waycove {
 
-/// How one attempt at a target ended.
+/// Outcome of one attempt at a target.
 enum class AttemptOutcome {
-  /// The whole answer came.
+  /// The complete response was received.
   Done,
-  /// Nothing was written to the target: the connection was refused or timed
-  /// out while opening.
+  /// Nothing was written to the target: the connection was refused or timed out
+  /// while opening.
   NotSent,
-  /// The target itself said that it did not take the request.
+  /// The target stated that it did not accept the request.
   Refused,
-  /// Written, and then the connection broke or the answer was damaged.
+  /// Written, then the connection broke or the response was malformed.
   Broken,
-  /// Written, and then nothing came in time.
+  /// Written, then nothing was received in time.
   Stalled,
-  /// The caller left.
+  /// The caller disconnected.
   CallerGone,
   Count
 };
 
-/// A share of traffic that may be spent on retries, so that failing targets
-/// cannot multiply the load. Each first attempt earns a part of a retry, and
-/// so does time, for daemons with little traffic.
+/// Limits retries to a fraction of the traffic, so that failing targets cannot
+/// multiply the load. Each first attempt earns part of a retry, and so does
+/// time, for daemons with little traffic.
 class RetryBudget {
 public:
   void onFirstAttempt(TimePoint Now);
-  /// Takes one retry; false where the budget is spent.
+  /// Takes one retry and returns true, or false if the budget is exhausted.
   bool take();
   double balance() const { return this->Balance; }
 
@@ -43,20 +43,21 @@
 
 enum class RetryChoice { Finish, Retry, Fail };
 
-/// Whether to send a request again. Only what provably did not run, or may be
-/// repeated, is.
+/// Whether to retry a request. Only requests that certainly did not run, or
+/// that may be repeated, are retried.
 struct RetryDecision {
   RetryChoice Choice{};
-  /// The kind to answer with where the choice is to give up.
+  /// The error to return to the caller if the choice is Fail.
   ErrorKind Kind{};
 };
 
+/// What decideRetry needs to know about the latest attempt.
 struct AttemptFacts {
   AttemptOutcome End{};
   bool Repeatable = false;
   unsigned Attempts = 0;
   bool DeadlinePassed = false;
-  /// An earlier attempt, or a part of this answer, may have run.
+  /// An earlier attempt, or part of this response, may have run.
   bool MayHaveRun = false;
 };
 
--- a/src/policy/retry_limiter.cpp
+++ b/src/policy/retry_limiter.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// Part of the allowance that is used: the rest covers slices that lie partly
-/// outside the window, and nodes that count fewer peers than there are.
-constexpr double UsedPart = 0.8;
+/// Part of the limit that is used; the rest covers slices partly outside the
+/// window and nodes that count too few peers.
+constexpr double UsedFraction = 0.8;
 
 } // namespace
 
 void RetryLimiter::advance(TimePoint Now) {
-  auto SliceTime =
-      std::chrono::duration_cast<std::chrono::nanoseconds>(this->Given.Window) /
+  auto SliceDuration =
+      std::chrono::duration_cast<std::chrono::nanoseconds>(this->Limit.Window) /
       static_cast<std::int64_t>(Slices);
-  std::int64_t Index = Now.time_since_epoch() / SliceTime;
+  std::int64_t Index = Now.time_since_epoch() / SliceDuration;
   std::int64_t Steps = std::min<std::int64_t>(
       Index - this->Newest, static_cast<std::int64_t>(Slices));
   for (std::int64_t I = 0; I < Steps; ++I)
@@ -30,24 +30,25 @@
 
 void RetryLimiter::onRequest(TimePoint Now) {
   this->advance(Now);
-  this->Ring[static_cast<std::size_t>(this->Newest) % Slices].First += 1;
+  this->Ring[static_cast<std::size_t>(this->Newest) % Slices].Requests += 1;
 }
 
 bool RetryLimiter::allows(double SlackShare, TimePoint Now) {
   this->advance(Now);
   Slice Sum;
-  for (const Slice &Row : this->Ring) {
-    Sum.First += Row.First;
-    Sum.Second += Row.Second;
+  for (const Slice &Part : this->Ring) {
+    Sum.Requests += Part.Requests;
+    Sum.Retries += Part.Retries;
   }
-  double Slack = this->Given.Slack * SlackShare;
-  return Sum.Second + 1 <= UsedPart * (this->Given.Ratio * Sum.First + Slack);
+  double Slack = this->Limit.Slack * SlackShare;
+  return Sum.Retries + 1 <=
+         UsedFraction * (this->Limit.Ratio * Sum.Requests + Slack);
 }
 
 bool RetryLimiter::take(double SlackShare, TimePoint Now) {
   if (!this->allows(SlackShare, Now))
     return false;
-  this->Ring[static_cast<std::size_t>(this->Newest) % Slices].Second += 1;
+  this->Ring[static_cast<std::size_t>(this->Newest) % Slices].Retries += 1;
   return true;
 }
 
--- a/src/policy/retry_limiter.h
+++ b/src/policy/retry_limiter.h
@@ -11,38 +11,38 @@
 
 namespace waycove {
 
-/// Bounds on second sends, shared by all nodes without a word between them:
-/// each keeps to its part of the allowance and to the ratio of its own
-/// requests.
+/// Limits on retries of a service. All nodes enforce them together without
+/// communication: each observes the ratio to its own requests and its share of
+/// the slack.
 struct RetryLimit {
-  /// Second sends allowed for each request.
+  /// Retries allowed per request.
   double Ratio = 0.2;
-  /// Further second sends that all nodes together may make in a window.
+  /// Additional retries that all nodes together may make in a window.
   double Slack = 0;
   Millis Window{10000};
 };
 
-/// Counts one service's first and second sends in a sliding window, cut into
-/// slices. Not thread-safe.
+/// Counts requests and retries of one service in a sliding window of slices.
+/// Not thread-safe.
 class RetryLimiter {
 public:
-  explicit RetryLimiter(RetryLimit Given) : Given(Given) {}
+  explicit RetryLimiter(RetryLimit Limit) : Limit(Limit) {}
   void onRequest(TimePoint Now);
-  /// Takes one second send; false where the allowance is spent. \p SlackShare
-  /// is this node's part of the slack, 0 to 1.
+  /// Takes one retry and returns true, or false if the limit is reached. \p
+  /// SlackShare is this node's part of the slack, 0 to 1.
   bool take(double SlackShare, TimePoint Now);
-  /// Whether take() would allow one.
+  /// Returns true if take() would allow a retry.
   bool allows(double SlackShare, TimePoint Now);
 
 private:
   static constexpr std::size_t Slices = 20;
   struct Slice {
-    double First = 0;
-    double Second = 0;
+    double Requests = 0;
+    double Retries = 0;
   };
   void advance(TimePoint Now);
 
-  RetryLimit Given;
+  RetryLimit Limit;
   std::array<Slice, Slices> Ring{};
   std::int64_t Newest = 0;
 };
--- a/src/policy/rewrite.cpp
+++ b/src/policy/rewrite.cpp
@@ -27,27 +27,27 @@
 }
 
 void addObjects(const FoldState &Before, const FoldState &Now,
-                std::vector<wire::RecordT> &Into) {
+                std::vector<wire::RecordT> &Out) {
   for (const auto &[Key, Old] : Before.objects()) {
     ObjectRef Present = Now.object(Key);
     if (Present &&
         (Present->Body == Old->Body || Present->Written > Old->Written))
       continue;
-    Into.push_back(
+    Out.push_back(
         configRecord(Key, Present ? Present->Revision : 0, Old->Written));
-    Into.back().change.AsConfigChange()->body = Old->Body;
+    Out.back().change.AsConfigChange()->body = Old->Body;
   }
 }
 
-/// What is in the copy and was not there before was removed since, unless it
-/// was published after all that was known then.
+/// Objects in the copy that did not exist before the restore had been removed,
+/// unless they were published later.
 void addRemovals(const FoldState &Before, const FoldState &Now,
-                 std::vector<wire::RecordT> &Into) {
+                 std::vector<wire::RecordT> &Out) {
   for (const auto &[Key, Present] : Now.objects()) {
     if (Before.object(Key) || Present->Written > Before.clock())
       continue;
-    Into.push_back(configRecord(Key, Present->Revision, Before.clock()));
-    Into.back().change.AsConfigChange()->removed = true;
+    Out.push_back(configRecord(Key, Present->Revision, Before.clock()));
+    Out.back().change.AsConfigChange()->removed = true;
   }
 }
 
@@ -61,7 +61,7 @@
 }
 
 void addClaims(const FoldState &Before, const FoldState &Now,
-               std::vector<wire::RecordT> &Into) {
+               std::vector<wire::RecordT> &Out) {
   std::map<IncarnationId, std::vector<wire::ClaimBatchT>> Lost;
   for (const auto &[Id, Held] : Before.claims()) {
     if (Now.claim(Id))
@@ -77,7 +77,7 @@
       Record.id = randomId();
       Record.written_ms = Before.clock().Value;
       Record.change.Set(std::move(Batch));
-      Into.push_back(std::move(Record));
+      Out.push_back(std::move(Record));
     }
 }
 
@@ -91,7 +91,7 @@
 std::vector<wire::RecordT> lostRecords(const FoldState &Before,
                                        const FoldState &Now) {
   std::vector<wire::RecordT> Lost;
-  // Removals first: a key may have gone from one workspace to another.
+  // Removals first, since a key may have moved from one workspace to another.
   addRemovals(Before, Now, Lost);
   addObjects(Before, Now, Lost);
   addClaims(Before, Now, Lost);
--- a/src/policy/rewrite.h
+++ b/src/policy/rewrite.h
@@ -8,21 +8,21 @@
 
 namespace waycove {
 
-/// What the log's records made before it came back from an older copy, and do
-/// not make any more, as records that bring it about again: objects as they
-/// were last published, removals, and who may dispatch a keyed call. \p Before
-/// is the state of before, \p Now the one that the copy makes.
+/// Returns records that restore what was lost when the log was restored from an
+/// older copy: published objects, removals, and claims of idempotency keys. \p
+/// Before is the state before the restore, \p Now the one that the copy yields.
 ///
-/// Each daemon that lived then writes them; the first copy of a record counts,
-/// since the others are based on a revision that it has changed, or claim a key
-/// that is claimed. An object that was published after the restore is later
-/// than the one in \p Before and stays. Groups are not formed again: their VMs
-/// are free by the log, and the next round forms what is to serve.
+/// Each daemon that was running before the restore writes them. The first copy
+/// of a record takes effect; the others are based on an outdated revision or
+/// claim a key that is already claimed. An object published after the restore
+/// is newer than the one in \p Before and stays. Groups are not restored: the
+/// log shows their VMs as free, and the next planning round forms the groups
+/// that are needed.
 std::vector<wire::RecordT> lostRecords(const FoldState &Before,
                                        const FoldState &Now);
 
-/// Whether \p Record need not be written (again): it took effect, or another
-/// one did in its place.
+/// Returns true if \p Record need not be written (again): it took effect, or
+/// another record did in its place.
 bool isSettled(const wire::RecordT &Record, const FoldState &Now);
 
 } // namespace waycove
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -11,24 +11,25 @@
 
 namespace {
 
-/// A reported queue counts for less as it ages: by half in this time.
+/// Half-life of a reported queue length.
 constexpr double ReportHalfLifeSeconds = 1.0;
 constexpr unsigned FailuresToEject = 3;
 constexpr Millis EjectTime(5000);
-/// At most this share of targets is ejected at once.
-constexpr double MostEjected = 0.3;
-/// How much more loaded the target with the cached prefix may be.
+/// Largest fraction of targets ejected at once.
+constexpr double MaxEjected = 0.3;
+/// How many more requests the target with the cached prefix may have.
 constexpr double AffinitySlack = 2;
 constexpr std::size_t AffinityChoices = 2;
 constexpr std::size_t RandomChoices = 2;
-constexpr std::size_t MostChoices = 8;
-/// Places of one target on the ring: enough that parts differ by a fifth.
+constexpr std::size_t MaxRandomChoices = 8;
+/// Positions of one target on the ring, for a roughly even distribution.
 constexpr std::size_t PointsPerTarget = 32;
 constexpr std::uint64_t RingSeed = 7;
-/// Ring places looked at for one choice before the whole ring is scanned.
+/// Positions examined for one choice before the whole ring is scanned.
 constexpr std::size_t ProbeLimit = 8;
 constexpr std::size_t PrefixBytes = 512;
 
+/// Searches the targets of a view for usable ones.
 struct Probe {
   const RouteView &View;
   const LoadTable &Load;
@@ -45,8 +46,8 @@
            Target.allows(this->Query.Wanted) && this->Serves(Target);
   }
 
-  /// The first usable target at or after ring place \p Place, looking at no
-  /// more than \p Limit points; \p Skip is passed over.
+  /// Returns the first usable target at or after ring position \p Place,
+  /// examining at most \p Limit points and skipping \p Skip.
   const RouteTarget *from(std::uint64_t Place, std::size_t Limit,
                           const RouteTarget *Skip) const {
     const auto &Ring = this->View.Ring;
@@ -67,8 +68,8 @@
     return nullptr;
   }
 
-  /// The first usable target from a random one on, looking at no more than
-  /// \p Limit.
+  /// Returns the first usable target from a random one on, examining at most \p
+  /// Limit targets.
   const RouteTarget *near(std::uint64_t Random, std::size_t Limit,
                           const RouteTarget *Skip) const {
     const auto &Rows = this->View.Targets;
@@ -85,33 +86,34 @@
   }
 };
 
-const RouteTarget *pickWith(const Probe &Look) {
-  // 1. The less loaded of two random targets. Where both have all their slots
-  // taken, a few more are asked: near saturation two are seldom enough.
+const RouteTarget *chooseWith(const Probe &Search) {
+  // 1. The less loaded of two random targets. While all slots of the best one
+  // are taken, more are examined: near saturation two are rarely enough.
   const RouteTarget *Best = nullptr;
-  std::uint64_t Random = Look.Query.Random;
-  auto Slots = static_cast<double>(Look.View.SlotsPerReplica);
-  for (std::size_t I = 0; I < MostChoices; ++I) {
-    if (I >= RandomChoices && Best && Look.load(*Best) < Slots)
+  std::uint64_t Random = Search.Query.Random;
+  auto Slots = static_cast<double>(Search.View.SlotsPerReplica);
+  for (std::size_t I = 0; I < MaxRandomChoices; ++I) {
+    if (I >= RandomChoices && Best && Search.load(*Best) < Slots)
       break;
-    const RouteTarget *Row = Look.near(Random, ProbeLimit, Best);
-    if (Row && (!Best || Look.load(*Row) < Look.load(*Best)))
+    const RouteTarget *Row = Search.near(Random, ProbeLimit, Best);
+    if (Row && (!Best || Search.load(*Row) < Search.load(*Best)))
       Best = Row;
     Random = mixHash(Random, I + 1);
   }
-  // 2. Labels may exclude nearly all: then every target is looked at.
+  // 2. Labels may exclude nearly all targets: then examine every one.
   if (!Best)
-    Best = Look.near(Look.Query.Random, Look.View.Targets.size(), nullptr);
-  if (!Best || Look.Query.Affinity == 0)
+    Best =
+        Search.near(Search.Query.Random, Search.View.Targets.size(), nullptr);
+  if (!Best || Search.Query.Affinity == 0)
     return Best;
-  // 3. Targets that may hold the prefix, if not much more loaded.
+  // 3. Prefer targets that may have the prefix cached, if not much more loaded.
   const RouteTarget *Skip = nullptr;
-  std::uint64_t Place = Look.Query.Affinity;
+  std::uint64_t Place = Search.Query.Affinity;
   for (std::size_t I = 0; I < AffinityChoices; ++I) {
-    const RouteTarget *Row = Look.from(Place, ProbeLimit, Skip);
+    const RouteTarget *Row = Search.from(Place, ProbeLimit, Skip);
     if (!Row)
       break;
-    if (Look.load(*Row) <= Look.load(*Best) + AffinitySlack)
+    if (Search.load(*Row) <= Search.load(*Best) + AffinitySlack)
       return Row;
     Skip = Row;
   }
@@ -122,10 +124,10 @@
 
 VmHash hashVm(const VmId &Vm) { return VmHash(hashText(Vm.Text)); }
 
-void RouteTarget::addLabels(Labels Row) {
-  if (std::find(this->MemberLabels.begin(), this->MemberLabels.end(), Row) ==
+void RouteTarget::addLabels(Labels Added) {
+  if (std::find(this->MemberLabels.begin(), this->MemberLabels.end(), Added) ==
       this->MemberLabels.end())
-    this->MemberLabels.push_back(std::move(Row));
+    this->MemberLabels.push_back(std::move(Added));
 }
 
 bool RouteTarget::allows(const Selector &Wanted) const {
@@ -150,60 +152,59 @@
             });
 }
 
-void LoadTable::onStart(VmHash Head) { ++this->Rows[Head].InFlight; }
+void LoadTable::onStart(VmHash Head) { ++this->Entries[Head].InFlight; }
 
 void LoadTable::onEnd(VmHash Head, bool Failed, TimePoint Now) {
-  Row &Entry = this->Rows[Head];
-  if (Entry.InFlight > 0)
-    --Entry.InFlight;
+  Entry &State = this->Entries[Head];
+  if (State.InFlight > 0)
+    --State.InFlight;
   if (Failed)
-    ++Entry.Failures;
-  else if (Entry.EjectedUntil <= Now)
-    Entry.Failures = 0;
+    ++State.Failures;
+  else if (State.EjectedUntil <= Now)
+    State.Failures = 0;
 }
 
 void LoadTable::onReport(VmHash Head, double Queue, TimePoint Now) {
-  Row &Entry = this->Rows[Head];
-  Entry.Reported = Queue;
-  Entry.ReportedAt = Now;
+  Entry &State = this->Entries[Head];
+  State.Reported = Queue;
+  State.ReportedAt = Now;
 }
 
 double LoadTable::loadOf(VmHash Head, TimePoint Now) const {
-  auto At = this->Rows.find(Head);
-  if (At == this->Rows.end())
+  auto At = this->Entries.find(Head);
+  if (At == this->Entries.end())
     return 0;
-  const Row &Entry = At->second;
-  double Age = std::chrono::duration<double>(Now - Entry.ReportedAt).count();
-  double Decayed = Entry.Reported * std::exp2(-Age / ReportHalfLifeSeconds);
-  return Entry.InFlight + Decayed;
+  const Entry &State = At->second;
+  double Age = std::chrono::duration<double>(Now - State.ReportedAt).count();
+  double Decayed = State.Reported * std::exp2(-Age / ReportHalfLifeSeconds);
+  return State.InFlight + Decayed;
 }
 
 bool LoadTable::isEjected(VmHash Head, TimePoint Now) const {
-  auto At = this->Rows.find(Head);
-  return At != this->Rows.end() && At->second.EjectedUntil > Now;
+  auto At = this->Entries.find(Head);
+  return At != this->Entries.end() && At->second.EjectedUntil > Now;
 }
 
 std::size_t LoadTable::ejectedCount(TimePoint Now) const {
-  return static_cast<std::size_t>(
-      std::count_if(this->Rows.begin(), this->Rows.end(), [&](const auto &R) {
-        return R.second.EjectedUntil > Now;
-      }));
+  return static_cast<std::size_t>(std::count_if(
+      this->Entries.begin(), this->Entries.end(),
+      [&](const auto &R) { return R.second.EjectedUntil > Now; }));
 }
 
 bool LoadTable::ejectIfFailing(VmHash Head, std::size_t Known, TimePoint Now) {
-  Row &Entry = this->Rows[Head];
-  if (Entry.Failures < FailuresToEject || Entry.EjectedUntil > Now)
+  Entry &State = this->Entries[Head];
+  if (State.Failures < FailuresToEject || State.EjectedUntil > Now)
     return false;
   double After = static_cast<double>(this->ejectedCount(Now) + 1);
-  if (After > MostEjected * static_cast<double>(Known))
+  if (After > MaxEjected * static_cast<double>(Known))
     return false;
-  Entry.EjectedUntil = Now + EjectTime;
-  Entry.Failures = FailuresToEject - 1;
+  State.EjectedUntil = Now + EjectTime;
+  State.Failures = FailuresToEject - 1;
   return true;
 }
 
 void LoadTable::forget(const std::function<bool(VmHash)> &IsKnown) {
-  std::erase_if(this->Rows, [&](const auto &Entry) {
+  std::erase_if(this->Entries, [&](const auto &Entry) {
     return Entry.second.InFlight == 0 && !IsKnown(Entry.first);
   });
 }
@@ -214,12 +215,12 @@
            const std::function<bool(const RouteTarget &)> &Serves) {
   if (View.Targets.empty())
     return nullptr;
-  Probe Look{View, Load, Query, Serves, false};
-  if (const RouteTarget *Found = pickWith(Look))
+  Probe Search{View, Load, Query, Serves, false};
+  if (const RouteTarget *Found = chooseWith(Search))
     return Found;
-  // Better a target that failed lately than none.
-  Look.AllowEjected = true;
-  return pickWith(Look);
+  // Fall back to targets that are ejected.
+  Search.AllowEjected = true;
+  return chooseWith(Search);
 }
 
 std::uint64_t affinityOf(const std::string &Workspace,
--- a/src/policy/route.h
+++ b/src/policy/route.h
@@ -16,7 +16,7 @@
 
 namespace waycove {
 
-/// A VM as the platform's list gives it, with inherited labels.
+/// Address of a VM.
 struct VmAddress {
   std::string Host;
   std::uint16_t Port = 0;
@@ -25,12 +25,11 @@
   }
 };
 
-/// A VM's name as the load table knows it: a number, since every choice looks
-/// several of them up.
+/// Hash of a VM's name; a number, for fast lookups in the load table.
 using VmHash = Number<struct VmHashTag>;
 VmHash hashVm(const VmId &Vm);
 
-/// One place to which a request may go: a group by its head, or a service VM.
+/// A target of requests: the head of a group, or a VM of a service.
 struct RouteTarget {
   Fence Group;
   VmId Head;
@@ -38,93 +37,94 @@
   VmHash Key;
   VmAddress Address;
   std::vector<VmId> Members;
-  /// The members' labels, each different set once; all must match. Empty
-  /// where a member is not known, and then nothing is allowed.
+  /// The distinct label sets of the members; all must match. Empty if a member
+  /// is unknown, and then nothing is allowed.
   std::vector<Labels> MemberLabels;
-  void addLabels(Labels Row);
+  void addLabels(Labels Added);
 
   bool allows(const Selector &Wanted) const;
 };
 
-/// One of a target's places on the hash ring.
+/// One position of a target on the hash ring.
 struct RingPoint {
   std::uint64_t Place = 0;
   std::uint32_t Target = 0;
 };
 
-/// The targets of one deployment or service, and the hash ring over them. Built
-/// once per change of state and shared read-only by requests.
+/// The targets of one deployment or service, with their hash ring. Built once
+/// per change of state and shared read-only by requests.
 struct RouteView {
   std::vector<RouteTarget> Targets;
-  /// Sorted by place; each target stands on it many times, so that all get
-  /// nearly equal parts of the sessions.
+  /// Sorted by place; each target has many positions, so that sessions are
+  /// distributed almost evenly.
   std::vector<RingPoint> Ring;
-  /// What the deployment itself asks of VMs and workspaces.
+  /// Selector of the deployment for workspaces.
   Selector Workspaces;
   bool Resolved = false;
   std::uint64_t SlotsPerReplica = 1;
   std::uint64_t VmsPerReplica = 1;
-  /// Cache of one replica, in tokens; zero where nobody said.
+  /// KV cache of one replica, in tokens; zero if not specified.
   std::uint64_t KvTokensPerReplica = 0;
 
-  /// To be called once all targets are in.
+  /// Call after all targets were added.
   void makeRing();
 };
 
-/// Counts what this node knows of each target's load, and which targets are
-/// left out for a while. Reports from targets lag, so the node's own requests
-/// in flight count at once and the last reported queue decays.
+/// Tracks the load of each target and which targets are ejected. Reports of
+/// targets lag, so requests of this node in flight count immediately and the
+/// last reported queue decays.
 class LoadTable {
 public:
   void onStart(VmHash Head);
   void onEnd(VmHash Head, bool Failed, TimePoint Now);
-  /// The target said that \p Queue requests of others wait there.
+  /// The target reported \p Queue waiting requests of other nodes.
   void onReport(VmHash Head, double Queue, TimePoint Now);
-  /// Observed time between tokens; slow targets weigh more.
+  /// Returns the requests in flight plus the decayed reported queue.
   double loadOf(VmHash Head, TimePoint Now) const;
   bool isEjected(VmHash Head, TimePoint Now) const;
-  /// Ejects \p Head after repeated failures, unless too large a share of
-  /// \p Known targets is out already. Returns true if it did.
+  /// Ejects \p Head after repeated failures, unless too many of \p Known
+  /// targets are already ejected. Returns true if it did.
   bool ejectIfFailing(VmHash Head, std::size_t Known, TimePoint Now);
   std::size_t ejectedCount(TimePoint Now) const;
-  std::size_t size() const { return this->Rows.size(); }
+  std::size_t size() const { return this->Entries.size(); }
   void forget(const std::function<bool(VmHash)> &IsKnown);
 
 private:
-  struct Row {
+  struct Entry {
     unsigned InFlight = 0;
     double Reported = 0;
     TimePoint ReportedAt;
     unsigned Failures = 0;
     TimePoint EjectedUntil;
   };
-  std::unordered_map<VmHash, Row> Rows;
+  std::unordered_map<VmHash, Entry> Entries;
 };
 
-/// What a choice needs to know about targets from outside the view.
+/// Parameters of one choice of a target.
 struct RouteQuery {
   const Selector &Wanted;
   /// Hash of the session or prompt prefix; zero for none.
   std::uint64_t Affinity = 0;
-  /// Random bits for the two choices.
+  /// Random bits for the random choices.
   std::uint64_t Random = 0;
-  /// Targets that failed this request already.
+  /// Targets that already failed for this request.
   std::vector<VmId> Avoid;
   TimePoint Now;
 };
 
-/// Picks a target: the ring successors of the affinity hash if their load is
-/// near that of two random others, else the less loaded of those two. All
-/// nodes agree on the successors without exchanging a word, so a session finds
-/// its cached prefix through any node. Cost grows with the logarithm of the
-/// number of targets, unless labels exclude most. \p Serves says whether a
-/// target may be used right now. Null where there is none.
+/// Chooses a target: a ring successor of the affinity hash if its load is close
+/// to that of the best of some random targets, otherwise that one. All nodes
+/// agree on the successors without communication, so a session finds its cached
+/// prefix through any node. The cost is logarithmic in the number of targets
+/// unless labels exclude most of them. \p Serves tells whether a target is
+/// usable now. Returns null if there is none.
 const RouteTarget *
 pickTarget(const RouteView &View, const LoadTable &Load,
            const RouteQuery &Query,
            const std::function<bool(const RouteTarget &)> &Serves);
 
-/// Hash of what a follow-up request shares with its predecessor.
+/// Returns the hash of what a follow-up request shares with its predecessor:
+/// its session, or else the start of its prompt.
 std::uint64_t affinityOf(const std::string &Workspace,
                          const std::string &Session, const std::string &Prompt);
 
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A host as look-ups compare it: without port, in lower case.
+/// Normalizes a host for lookups: without port, in lower case.
 std::string hostKey(std::string_view Host) {
   std::string Key(Host.substr(0, Host.find(':')));
   std::transform(Key.begin(), Key.end(), Key.begin(), [](unsigned char C) {
@@ -24,7 +24,7 @@
 const ModelSpec *EngineSpec::model(std::string_view Name) const {
   auto At =
       std::find_if(this->Models.begin(), this->Models.end(),
-                   [&](const ModelSpec &Row) { return Row.Name == Name; });
+                   [&](const ModelSpec &Model) { return Model.Name == Name; });
   return At == this->Models.end() ? nullptr : &*At;
 }
 
@@ -34,8 +34,8 @@
 }
 
 void RoutingConfig::sortRoutes() {
-  for (auto &[Host, Rows] : this->ByHost)
-    std::stable_sort(Rows.begin(), Rows.end(),
+  for (auto &[Host, Routes] : this->ByHost)
+    std::stable_sort(Routes.begin(), Routes.end(),
                      [](const HttpRoute &Left, const HttpRoute &Right) {
                        return Left.Prefix.size() > Right.Prefix.size();
                      });
@@ -46,9 +46,9 @@
   auto At = this->ByHost.find(hostKey(Host));
   if (At == this->ByHost.end())
     return nullptr;
-  for (const HttpRoute &Row : At->second)
-    if (Path.starts_with(Row.Prefix))
-      return &Row;
+  for (const HttpRoute &Route : At->second)
+    if (Path.starts_with(Route.Prefix))
+      return &Route;
   return nullptr;
 }
 
@@ -59,20 +59,20 @@
 
 std::size_t RoutingConfig::routeCount() const {
   std::size_t Count = 0;
-  for (const auto &[Host, Rows] : this->ByHost)
-    Count += Rows.size();
+  for (const auto &[Host, Routes] : this->ByHost)
+    Count += Routes.size();
   return Count;
 }
 
 const ServiceId &pickBackend(const HttpRoute &Route, std::uint64_t Random) {
   std::uint64_t Sum = 0;
-  for (const RouteBackend &Row : Route.Backends)
-    Sum += Row.Weight;
+  for (const RouteBackend &Backend : Route.Backends)
+    Sum += Backend.Weight;
   std::uint64_t Point = Sum ? Random % Sum : 0;
-  for (const RouteBackend &Row : Route.Backends) {
-    if (Point < Row.Weight)
-      return Row.Service;
-    Point -= Row.Weight;
+  for (const RouteBackend &Backend : Route.Backends) {
+    if (Point < Backend.Weight)
+      return Backend.Service;
+    Point -= Backend.Weight;
   }
   return Route.Backends.back().Service;
 }
--- a/src/policy/routing.h
+++ b/src/policy/routing.h
@@ -16,34 +16,35 @@
 
 namespace waycove {
 
-/// What may be done with a request whose outcome is not known.
+/// How a request with an unknown outcome may be retried.
 enum class RouteKind {
   /// May run more than once.
   Idempotent,
   /// Runs at most once.
   Once,
-  /// A stream of events; resumable where the route says so, else as Once.
+  /// A stream of events; resumable if the route says so, otherwise like Once.
   Stream,
 };
 
-/// One of the services between which a route splits its requests.
+/// One of the services that a route splits its requests between.
 struct RouteBackend {
   ServiceId Service;
   std::uint32_t Weight = 1;
 };
 
-/// One entry of the operators' routing configuration.
+/// One route of the routing configuration.
 struct HttpRoute {
   std::string Name;
   std::string Host;
   /// Begins and ends with a slash.
   std::string Prefix;
   RouteKind Kind = RouteKind::Once;
-  /// Longest time that a request may be held.
+  /// Timeout of a request.
   Millis Timeout{0};
-  /// Latency objective: to the answer, or to a stream's first event.
+  /// Latency objective: time to the response, or to the first event of a
+  /// stream.
   Millis Goal{0};
-  /// Longest pause between two events that still counts as in time.
+  /// Latency objective for the time between two events of a stream.
   Millis PauseGoal{0};
   /// 0 is the most urgent.
   unsigned Priority = 0;
@@ -59,35 +60,35 @@
   }
 };
 
-/// A model as the operators size it.
+/// Configured properties of a model.
 struct ModelSpec {
   std::string Name;
   /// VMs of one group.
   unsigned GroupSize = 1;
-  /// Expected part of the work, 0 to 1.
+  /// Expected fraction of the load, 0 to 1.
   double LoadFraction = 1;
-  /// Factor on all times of the engine; below 1 is faster.
+  /// Factor on all engine times; below 1 is faster.
   double TimeFactor = 1;
   Millis LoadTime{0};
-  /// Load time where the host has the weights staged.
+  /// Load time if the host has the weights staged.
   Millis StagedLoadTime{0};
 };
 
-/// What the forming of groups needs to know of a service's model engines.
+/// Configured properties of a service's model engines, for group formation.
 struct EngineSpec {
-  /// Loads that may begin in a second, over all domains.
+  /// Maximum loads started per second, over all domains.
   double LoadsPerSecond = 1;
-  /// Loads that run at the same time at full speed; with more, each is slower.
+  /// Concurrent loads at full speed; more slow each other down.
   unsigned LoadsAtOnce = 1;
   unsigned ModelsStagedPerHost = 0;
-  /// How fast one group is, as the operators state it; 0 where they do not: a
-  /// step, which makes a token for each request that writes, takes StepMillis
-  /// and so much longer for each of these. Slots requests run at a time.
+  /// Speed of one group; 0 if not configured. A step produces one token for
+  /// each request in generation and takes StepMillis plus StepMillisPerRequest
+  /// for each of these. Up to Slots requests run concurrently.
   double StepMillis = 0;
   double StepMillisPerRequest = 0;
   unsigned Slots = 0;
   double ReadTokensPerSecond = 0;
-  /// Tokens of a usual answer.
+  /// Output tokens of a typical response.
   double TypicalOutputTokens = 0;
   std::vector<ModelSpec> Models;
 
@@ -96,19 +97,19 @@
 
 struct ServiceSpec {
   ServiceId Id;
-  /// Connections that one target takes from all callers together.
+  /// Connections that one target accepts from all nodes together.
   unsigned MaxConnections = 1;
-  /// Set for services whose targets run models.
+  /// Set if the targets run models.
   std::optional<EngineSpec> Engine;
 
-  /// Whether its targets serve as groups that have to be formed. Engines
-  /// without models to group serve each alone, as plain targets do.
+  /// Returns true if its targets serve as groups that have to be formed.
+  /// Engines without configured models serve individually, like plain targets.
   bool hasGroups() const {
     return this->Engine && !this->Engine->Models.empty();
   }
 };
 
-/// Bounds on what callers send.
+/// Limits on requests of callers.
 struct CallerLimits {
   std::size_t HeaderBytes = 16384;
   std::size_t BodyBytes = 4 << 20;
@@ -116,40 +117,41 @@
   Millis IdleTimeout{15000};
 };
 
-/// To whom an API key belongs.
+/// Owner of an API key.
 struct KeyOwner {
   WorkspaceId Workspace;
-  /// Goes before a route's priority where set.
+  /// Overrides the priority of the route if set.
   std::optional<unsigned> Priority;
 };
 
-/// One whole version of the operators' routing configuration, compiled for
-/// look-ups. Immutable once built; requests share it.
+/// One version of the routing configuration, compiled for lookups. Immutable
+/// once built and shared by requests.
 class RoutingConfig {
 public:
   std::uint64_t Version = 0;
   CallerLimits Limits;
   std::map<ServiceId, ServiceSpec> Services;
-  /// Whether keys are needed at all (on routes that are not public).
+  /// Whether routes that are not public require API keys.
   bool HasWorkspaces = false;
   std::unordered_map<std::string, KeyOwner> Keys;
 
   void addRoute(HttpRoute Route);
-  /// To be called once all routes are in.
+  /// Call after all routes were added.
   void sortRoutes();
-  /// The route of \p Host with the longest prefix of \p Path; null for none.
+  /// Returns the route of \p Host with the longest prefix of \p Path, or null.
   const HttpRoute *find(std::string_view Host, std::string_view Path) const;
   const ServiceSpec *service(const ServiceId &Id) const;
   std::size_t routeCount() const;
 
 private:
-  /// Per host, the longest prefixes first.
+  /// By host, longest prefix first.
   std::unordered_map<std::string, std::vector<HttpRoute>> ByHost;
 };
 
 using RoutingConfigRef = std::shared_ptr<const RoutingConfig>;
 
-/// Picks one of the route's services by weight; \p Random is uniform bits.
+/// Chooses one of the services of the route by weight; \p Random is uniformly
+/// distributed bits.
 const ServiceId &pickBackend(const HttpRoute &Route, std::uint64_t Random);
 
 } // namespace waycove
--- a/src/policy/target_stats.cpp
+++ b/src/policy/target_stats.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-/// Weight of the newest sample in smoothed figures: about the last eight.
-constexpr double Smoothing = 0.125;
-/// First-byte times follow the load faster.
+/// Weight of the newest outcome in the smoothed failure rate.
+constexpr double FailureSmoothing = 0.125;
+/// Weight of the newest first-byte time in its smoothed value.
 constexpr double WaitSmoothing = 0.3;
-/// A time to the first byte is told to others this long after it was measured.
-constexpr Millis SampleTime(2000);
-/// A target whose failures stand out by this share of its answers is left.
+/// A first-byte time is reported to other nodes for this long.
+constexpr Millis SampleMaxAge(2000);
+/// A target becomes suspect if its failure rate exceeds the lowest rate of the
+/// other targets by this much.
 constexpr double FailureMargin = 0.25;
-/// Answers needed before a share of failures means anything.
-constexpr unsigned FewAnswers = 6;
-/// A failing target is tried again after this time.
-constexpr Millis FailingTime(1500);
+/// Responses needed before a failure rate is used.
+constexpr unsigned MinResponses = 6;
+/// How long a failing target stays suspect.
+constexpr Millis FailureSuspectTime(1500);
 
 } // namespace
 
@@ -47,119 +48,122 @@
 
 void TargetStatsTable::onStart(const VmIncarnation &Target, double PromptTokens,
                                TimePoint Now) {
-  TargetStats &Row = this->Rows[Target];
-  ++Row.InFlight;
-  Row.PromptWaiting += PromptTokens;
-  Row.WaitingSince.push_back(Now);
+  TargetStats &Stats = this->Targets[Target];
+  ++Stats.InFlight;
+  Stats.PromptWaiting += PromptTokens;
+  Stats.WaitingSince.push_back(Now);
 }
 
-void TargetStatsTable::stopWaiting(TargetStats &Row, TimePoint SentAt,
+void TargetStatsTable::stopWaiting(TargetStats &Stats, TimePoint SentAt,
                                    double PromptTokens) {
-  auto At = std::find(Row.WaitingSince.begin(), Row.WaitingSince.end(), SentAt);
-  if (At != Row.WaitingSince.end())
-    Row.WaitingSince.erase(At);
-  Row.PromptWaiting = std::max(0.0, Row.PromptWaiting - PromptTokens);
+  auto At =
+      std::find(Stats.WaitingSince.begin(), Stats.WaitingSince.end(), SentAt);
+  if (At != Stats.WaitingSince.end())
+    Stats.WaitingSince.erase(At);
+  Stats.PromptWaiting = std::max(0.0, Stats.PromptWaiting - PromptTokens);
 }
 
 void TargetStatsTable::onFirstByte(const VmIncarnation &Target,
                                    TimePoint SentAt, double PromptTokens,
                                    TimePoint Now) {
-  TargetStats &Row = this->Rows[Target];
+  TargetStats &Stats = this->Targets[Target];
   double Sample =
       std::chrono::duration<double, std::milli>(Now - SentAt).count();
-  Row.FirstByteMs =
-      Row.FirstByteMs == 0
+  Stats.FirstByteMs =
+      Stats.FirstByteMs == 0
           ? Sample
-          : Row.FirstByteMs + WaitSmoothing * (Sample - Row.FirstByteMs);
-  Row.FirstByteAt = Now;
-  stopWaiting(Row, SentAt, PromptTokens);
-  ++Row.Responding;
-  Row.LastProgress = Now;
+          : Stats.FirstByteMs + WaitSmoothing * (Sample - Stats.FirstByteMs);
+  Stats.FirstByteAt = Now;
+  stopWaiting(Stats, SentAt, PromptTokens);
+  ++Stats.Responding;
+  Stats.LastProgress = Now;
 }
 
 void TargetStatsTable::onProgress(const VmIncarnation &Target, TimePoint Now) {
-  this->Rows[Target].LastProgress = Now;
+  this->Targets[Target].LastProgress = Now;
 }
 
 void TargetStatsTable::onEnd(const VmIncarnation &Target, TimePoint SentAt,
                              bool FirstByteSeen, double PromptTokens) {
-  TargetStats &Row = this->Rows[Target];
-  if (Row.InFlight > 0)
-    --Row.InFlight;
+  TargetStats &Stats = this->Targets[Target];
+  if (Stats.InFlight > 0)
+    --Stats.InFlight;
   if (!FirstByteSeen)
-    stopWaiting(Row, SentAt, PromptTokens);
-  else if (Row.Responding > 0)
-    --Row.Responding;
+    stopWaiting(Stats, SentAt, PromptTokens);
+  else if (Stats.Responding > 0)
+    --Stats.Responding;
 }
 
 void TargetStatsTable::onResponseHead(const VmIncarnation &Target,
                                       bool Closes) {
-  this->Rows[Target].Closing = Closes;
+  this->Targets[Target].Closing = Closes;
 }
 
 void TargetStatsTable::onOutcome(const VmIncarnation &Target, bool Failed,
                                  TimePoint Now) {
-  TargetStats &Row = this->Rows[Target];
-  ++Row.Answers;
-  Row.FailureRate += Smoothing * ((Failed ? 1.0 : 0.0) - Row.FailureRate);
-  if (!Failed || Row.Answers < FewAnswers)
+  TargetStats &Stats = this->Targets[Target];
+  ++Stats.Responses;
+  Stats.FailureRate +=
+      FailureSmoothing * ((Failed ? 1.0 : 0.0) - Stats.FailureRate);
+  if (!Failed || Stats.Responses < MinResponses)
     return;
-  // Some requests fail anywhere: only a target that stands out is at fault.
-  double Usual = 1;
-  for (const auto &[Id, Other] : this->Rows)
-    if (Id != Target && Other.Answers >= FewAnswers)
-      Usual = std::min(Usual, Other.FailureRate);
-  if (Usual < 1 && Row.FailureRate > Usual + FailureMargin)
-    Row.SuspectUntil = std::max(Row.SuspectUntil, Now + FailingTime);
+  // Requests that fail everywhere are no fault of the target, so compare it
+  // with the target that fails least.
+  double LowestRate = 1;
+  for (const auto &[Id, Other] : this->Targets)
+    if (Id != Target && Other.Responses >= MinResponses)
+      LowestRate = std::min(LowestRate, Other.FailureRate);
+  if (LowestRate < 1 && Stats.FailureRate > LowestRate + FailureMargin)
+    Stats.SuspectUntil = std::max(Stats.SuspectUntil, Now + FailureSuspectTime);
 }
 
 void TargetStatsTable::suspect(const VmIncarnation &Target, TimePoint Now,
-                               Millis Time) {
-  TargetStats &Row = this->Rows[Target];
-  Row.SuspectUntil = std::max(Row.SuspectUntil, Now + Time);
+                               Millis Duration) {
+  TargetStats &Stats = this->Targets[Target];
+  Stats.SuspectUntil = std::max(Stats.SuspectUntil, Now + Duration);
 }
 
 void TargetStatsTable::onRegrouped(const VmIncarnation &Target) {
-  if (auto At = this->Rows.find(Target); At != this->Rows.end())
+  if (auto At = this->Targets.find(Target); At != this->Targets.end())
     At->second.SuspectUntil = TimePoint();
 }
 
 TargetLoads TargetStatsTable::loads(TimePoint Now) const {
   TargetLoads Loads;
-  for (const auto &[Id, Row] : this->Rows) {
-    bool Sampled = Now - Row.FirstByteAt < SampleTime;
-    if (Row.InFlight == 0 && !Sampled && Row.SuspectUntil <= Now)
+  for (const auto &[Id, Stats] : this->Targets) {
+    bool Sampled = Now - Stats.FirstByteAt < SampleMaxAge;
+    if (Stats.InFlight == 0 && !Sampled && Stats.SuspectUntil <= Now)
       continue;
     TargetLoad &Load = Loads[hashOf(Id)];
-    Load.InFlight = Row.InFlight;
-    Load.Responding = Row.Responding;
-    Load.PromptWaiting = Row.PromptWaiting;
-    Load.SilentFor = Row.silence(Now);
-    if (std::optional<TimePoint> Oldest = Row.oldestWait())
+    Load.InFlight = Stats.InFlight;
+    Load.Responding = Stats.Responding;
+    Load.PromptWaiting = Stats.PromptWaiting;
+    Load.SilentFor = Stats.silence(Now);
+    if (std::optional<TimePoint> Oldest = Stats.oldestWait())
       Load.LongestWait = std::chrono::duration_cast<Millis>(Now - *Oldest);
-    Load.FirstByteMs = Sampled ? Row.FirstByteMs : 0;
-    if (Row.SuspectUntil > Now)
+    Load.FirstByteMs = Sampled ? Stats.FirstByteMs : 0;
+    if (Stats.SuspectUntil > Now)
       Load.SuspectFor =
-          std::chrono::duration_cast<Millis>(Row.SuspectUntil - Now);
+          std::chrono::duration_cast<Millis>(Stats.SuspectUntil - Now);
   }
   return Loads;
 }
 
 void TargetStatsTable::setReports(TargetLoads Others, TimePoint Now) {
-  this->Elsewhere = std::move(Others);
-  this->ToldAt = Now;
+  this->Reported = std::move(Others);
+  this->ReportedAt = Now;
 }
 
 bool TargetStatsTable::hasReports(TimePoint Now) const {
-  return !this->Elsewhere.empty() && Now - this->ToldAt <= ReportMaxAge;
+  return !this->Reported.empty() && Now - this->ReportedAt <= ReportMaxAge;
 }
 
 const TargetLoad *TargetStatsTable::reportedLoad(const VmIncarnation &Target,
                                                  TimePoint Now) const {
   if (!this->hasReports(Now))
     return nullptr;
-  auto At = this->Elsewhere.find(hashOf(Target));
-  return At == this->Elsewhere.end() ? nullptr : &At->second;
+  auto At = this->Reported.find(hashOf(Target));
+  return At == this->Reported.end() ? nullptr : &At->second;
 }
 
 bool TargetStatsTable::isStalled(const VmIncarnation &Target,
@@ -177,9 +181,9 @@
   if (Here.SuspectUntil > Now || this->isStalled(Target, Now))
     return true;
   const TargetLoad *There = this->reportedLoad(Target, Now);
-  bool Moves = Here.Responding > 0 && !Here.isStalled(Now);
-  return There && Now - this->ToldAt < There->SuspectFor &&
-         !There->hasProgress() && !Moves;
+  bool HasProgress = Here.Responding > 0 && !Here.isStalled(Now);
+  return There && Now - this->ReportedAt < There->SuspectFor &&
+         !There->hasProgress() && !HasProgress;
 }
 
 Millis TargetStatsTable::silence(const VmIncarnation &Target,
@@ -195,13 +199,13 @@
 
 const TargetStats &TargetStatsTable::of(const VmIncarnation &Target) const {
   static const TargetStats Unknown;
-  auto At = this->Rows.find(Target);
-  return At == this->Rows.end() ? Unknown : At->second;
+  auto At = this->Targets.find(Target);
+  return At == this->Targets.end() ? Unknown : At->second;
 }
 
 void TargetStatsTable::forget(
     const std::function<bool(const VmIncarnation &)> &IsListed) {
-  std::erase_if(this->Rows, [&](const auto &Entry) {
+  std::erase_if(this->Targets, [&](const auto &Entry) {
     return Entry.second.InFlight == 0 && !IsListed(Entry.first);
   });
 }
--- a/src/policy/target_stats.h
+++ b/src/policy/target_stats.h
@@ -14,91 +14,95 @@
 
 namespace waycove {
 
-/// How one target looks from this node.
+/// What this node observes of one target.
 struct TargetStats {
-  /// Requests of this node that run or wait there.
+  /// Requests of this node in flight.
   unsigned InFlight = 0;
-  /// Of these, how many get their answer already.
+  /// Of these, requests whose response has begun.
   unsigned Responding = 0;
-  /// Prompt tokens that no answer has begun for.
+  /// Prompt tokens of requests whose response has not begun.
   double PromptWaiting = 0;
-  /// When those that wait for their answer's first byte were sent.
+  /// Send times of the requests whose response has not begun.
   std::vector<TimePoint> WaitingSince;
-  /// Last time that anything came from it.
+  /// Last time that any byte was received from it.
   TimePoint LastProgress;
-  /// Gets no new work until then, unless nothing else is left.
+  /// Receives no new requests until then if another target is available.
   TimePoint SuspectUntil;
-  /// Smoothed time to the first byte of an answer, in milliseconds; 0 for not
-  /// known.
+  /// Smoothed time to the first byte of a response, in milliseconds; 0 if
+  /// unknown.
   double FirstByteMs = 0;
   TimePoint FirstByteAt;
-  /// Smoothed share of answers that were errors of the target itself.
+  /// Smoothed fraction of responses that were errors of the target itself.
   double FailureRate = 0;
-  unsigned Answers = 0;
-  /// Its last answer said that it closes the connection: it may be leaving.
+  unsigned Responses = 0;
+  /// Its last response announced the end of the connection: it may be leaving.
   bool Closing = false;
 
-  /// Answers are under way and none of them moves: whatever it depends on has
-  /// failed, or it has itself.
+  /// Returns true if responses are in progress but none made progress within
+  /// StallTimeout.
   bool isStalled(TimePoint Now) const;
-  /// When the one that waits longest for its first byte was sent.
+  /// Returns the send time of the request that has waited longest for its first
+  /// byte.
   std::optional<TimePoint> oldestWait() const;
-  /// Time since anything came, or since the oldest request was sent.
+  /// Time since the last byte received, or since the oldest request was sent.
   Millis silence(TimePoint Now) const;
 };
 
-/// What the node knows of targets: from its own requests, and from what other
-/// nodes told lately. A target is left on the word of all, since one node's
-/// silence may be its own fault. Not thread-safe.
+/// Per-target statistics from the requests of this node and from the latest
+/// reports of other nodes. Reports are needed to tell a stalled target from a
+/// fault of this node alone. Not thread-safe.
 class TargetStatsTable {
 public:
   void onStart(const VmIncarnation &Target, double PromptTokens, TimePoint Now);
-  /// The first byte of an answer to the request sent at \p SentAt came.
+  /// Records the first byte of the response to the request sent at \p SentAt.
   void onFirstByte(const VmIncarnation &Target, TimePoint SentAt,
                    double PromptTokens, TimePoint Now);
   void onProgress(const VmIncarnation &Target, TimePoint Now);
-  /// The request sent at \p SentAt ended, before its first byte or after.
+  /// Records the end of the request sent at \p SentAt, before its first byte or
+  /// after.
   void onEnd(const VmIncarnation &Target, TimePoint SentAt, bool FirstByteSeen,
              double PromptTokens);
-  /// Counts an answer of the target as failed or not.
+  /// Counts a response of the target as failed or successful.
   void onOutcome(const VmIncarnation &Target, bool Failed, TimePoint Now);
-  /// An answer of the target says whether it closes the connection.
+  /// Records whether a response of the target closes the connection.
   void onResponseHead(const VmIncarnation &Target, bool Closes);
-  /// Takes the target out of choice for \p Time.
-  void suspect(const VmIncarnation &Target, TimePoint Now, Millis Time);
-  /// The target is in another group than before: what it was doubted for is
-  /// over.
+  /// Marks the target as suspect for \p Duration.
+  void suspect(const VmIncarnation &Target, TimePoint Now, Millis Duration);
+  /// Clears suspicion of a target that changed its group.
   void onRegrouped(const VmIncarnation &Target);
   const TargetStats &of(const VmIncarnation &Target) const;
 
-  /// What this node sees of targets that it uses, for others.
+  /// The load that this node reports to others.
   TargetLoads loads(TimePoint Now) const;
-  /// What all other nodes see, as told at \p Now.
+  /// Replaces the summed reports of all other nodes.
   void setReports(TargetLoads Others, TimePoint Now);
-  /// Whether other nodes told lately what they see.
+  /// Returns true if there are current reports of other nodes.
   bool hasReports(TimePoint Now) const;
-  /// What other nodes see of the target; null where nothing new is known.
+  /// Returns what other nodes report of the target, or null if nothing current
+  /// is known.
   const TargetLoad *reportedLoad(const VmIncarnation &Target,
                                  TimePoint Now) const;
-  /// Whether answers are under way there and none moves, here and elsewhere.
+  /// Returns true if responses are in progress and stalled, here and at other
+  /// nodes.
   bool isStalled(const VmIncarnation &Target, TimePoint Now) const;
-  /// Whether it should get no new work while there are others: this node says
-  /// so, or another one does whose doubts nobody's answers dispel. What stands
-  /// still is left by all soon, and would look idle else.
+  /// Returns true if the target should receive no new requests while others are
+  /// available: it is stalled, this node suspects it, or another node does and
+  /// no node receives bytes from it. A stalled target must count as suspect
+  /// since requests leave it and it would look idle.
   bool isSuspect(const VmIncarnation &Target, TimePoint Now) const;
-  /// Time since anything came from it, here or elsewhere; zero where nobody
-  /// waits for it.
+  /// Time since any byte was received from it, here or at other nodes; zero if
+  /// no request is in flight.
   Millis silence(const VmIncarnation &Target, TimePoint Now) const;
-  /// Drops targets that are not listed and have nothing in flight.
+  /// Drops targets that are not listed and have no requests in flight.
   void forget(const std::function<bool(const VmIncarnation &)> &IsListed);
 
 private:
-  static void stopWaiting(TargetStats &Row, TimePoint SentAt,
+  static void stopWaiting(TargetStats &Stats, TimePoint SentAt,
                           double PromptTokens);
-  std::map<VmIncarnation, TargetStats> Rows;
-  /// What other nodes see, by the hash of the target's id.
-  TargetLoads Elsewhere;
-  TimePoint ToldAt;
+  std::map<VmIncarnation, TargetStats> Targets;
+  /// Summed reports of other nodes, by the hash of the target.
+  TargetLoads Reported;
+  TimePoint ReportedAt;
 };
 
 } // namespace waycove
--- a/src/policy/upstream_selector.cpp
+++ b/src/policy/upstream_selector.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-/// Calls a second of all nodes together to a store that fails: one in 20 ms.
-constexpr Millis ProbeEvery{20};
-/// A node hears from others that the store is back; this is for one that no
-/// other one reaches.
-constexpr Millis MostPause{20000};
-/// So that it is noticed within a second where nodes are few.
-constexpr Millis FewNodesPause{800};
-constexpr Millis FirstPause{400};
-/// Where nodes are few, and for the first of each data centre: most failures
-/// end at once.
-constexpr Millis LeastPause{100};
+/// Interval between calls of all nodes together.
+constexpr Millis TotalInterval{20};
+/// Longest interval of one node. Nodes usually learn of the recovery from
+/// others; this is for one that reaches no other node.
+constexpr Millis MaxInterval{20000};
+/// Shortest maximum interval, for recovery within a second in small sites.
+constexpr Millis SmallSiteInterval{800};
+constexpr Millis FirstNodeInterval{400};
+/// Minimum interval in small sites and for the first node of each data centre,
+/// as most failures are short.
+constexpr Millis MinInterval{100};
 
 std::size_t placeOf(const std::vector<NodeInfo> &Order, const NodeId &Node) {
-  auto At = std::find_if(Order.begin(), Order.end(),
-                         [&](const NodeInfo &Row) { return Row.Node == Node; });
+  auto At = std::find_if(Order.begin(), Order.end(), [&](const NodeInfo &Info) {
+    return Info.Node == Node;
+  });
   return static_cast<std::size_t>(At - Order.begin());
 }
 
@@ -33,57 +34,59 @@
 std::vector<NodeInfo> UpstreamSelector::nextCandidates(const NodeTable &Nodes,
                                                        const NodeInfo &Me,
                                                        TimePoint Now) const {
-  std::vector<NodeInfo> Asked;
-  auto Take = [&](const NodeInfo &Row) {
-    if (Asked.size() < MostAsked && !this->isBackedOff(Row.Node, Now))
-      Asked.push_back(Row);
+  std::vector<NodeInfo> Candidates;
+  auto Add = [&](const NodeInfo &Info) {
+    if (Candidates.size() < MaxCandidates && !this->isBackedOff(Info.Node, Now))
+      Candidates.push_back(Info);
   };
   std::vector<NodeInfo> Order = readerOrder(Nodes, Me.DataCentre);
   std::size_t Place = placeOf(Order, Me.Node);
-  // One that is not listed yet reads alone.
+  // A node that is not listed yet reads the store itself.
   if (Place == Order.size())
-    return Asked;
-  std::optional<std::size_t> Given = upstreamPlace(Order, Place);
-  if (Given)
-    Take(Order[*Given]);
+    return Candidates;
+  std::optional<std::size_t> Assigned = upstreamPlace(Order, Place);
+  if (Assigned)
+    Add(Order[*Assigned]);
   for (std::size_t I = 0; I < Place; ++I)
-    if (I != Given)
-      Take(Order[I]);
+    if (I != Assigned)
+      Add(Order[I]);
   for (const DataCentreId &Centre : dataCentreOrder(Nodes)) {
-    if (Centre == Me.DataCentre || Asked.size() == MostAsked)
+    if (Centre == Me.DataCentre || Candidates.size() == MaxCandidates)
       break;
     std::vector<NodeInfo> Others = readerOrder(Nodes, Centre);
-    for (std::size_t I = 0; I < std::min(Others.size(), AskedOfCentre); ++I)
-      Take(Others[I]);
+    for (std::size_t I = 0; I < std::min(Others.size(), CandidatesPerCentre);
+         ++I)
+      Add(Others[I]);
   }
-  return Asked;
+  return Candidates;
 }
 
 std::vector<NodeInfo>
 UpstreamSelector::fallbackCandidates(const NodeTable &Nodes, const NodeInfo &Me,
                                      TimePoint Now) const {
-  std::vector<NodeInfo> Rows = readerOrder(Nodes, Me.DataCentre);
-  std::size_t Place = placeOf(Rows, Me.Node);
-  if (Place < Rows.size()) {
-    std::rotate(Rows.begin(), Rows.begin() + static_cast<std::ptrdiff_t>(Place),
-                Rows.end());
-    Rows.erase(Rows.begin());
+  std::vector<NodeInfo> Others = readerOrder(Nodes, Me.DataCentre);
+  std::size_t Place = placeOf(Others, Me.Node);
+  if (Place < Others.size()) {
+    std::rotate(Others.begin(),
+                Others.begin() + static_cast<std::ptrdiff_t>(Place),
+                Others.end());
+    Others.erase(Others.begin());
   }
-  for (const auto &[Id, Row] : Nodes)
-    if (Row.DataCentre != Me.DataCentre)
-      Rows.push_back(Row);
-  std::erase_if(Rows, [&](const NodeInfo &Row) {
-    return this->isBackedOff(Row.Node, Now);
+  for (const auto &[Id, Info] : Nodes)
+    if (Info.DataCentre != Me.DataCentre)
+      Others.push_back(Info);
+  std::erase_if(Others, [&](const NodeInfo &Info) {
+    return this->isBackedOff(Info.Node, Now);
   });
-  return Rows;
+  return Others;
 }
 
-ProbeBackoff probeBackoff(std::size_t Nodes, bool First) {
-  if (First)
-    return {LeastPause, FirstPause};
-  Millis Most = std::clamp(ProbeEvery * static_cast<int>(Nodes), FewNodesPause,
-                           MostPause);
-  return {Most == FewNodesPause ? LeastPause : Most / 2, Most};
+ProbeBackoff probeBackoff(std::size_t Nodes, bool IsFirst) {
+  if (IsFirst)
+    return {MinInterval, FirstNodeInterval};
+  Millis Max = std::clamp(TotalInterval * static_cast<int>(Nodes),
+                          SmallSiteInterval, MaxInterval);
+  return {Max == SmallSiteInterval ? MinInterval : Max / 2, Max};
 }
 
 } // namespace waycove
--- a/src/policy/upstream_selector.h
+++ b/src/policy/upstream_selector.h
@@ -8,59 +8,59 @@
 
 namespace waycove {
 
-/// Whom a node asks for news. All nodes that know the same nodes agree on an
-/// order in which they come, by data centre and within each; a node reads
-/// through nodes before it alone, so what it is told never came through itself,
-/// and the first that has the store reads it for all. Where the one that is
-/// given to it fails, it asks others before it, before it reads the store: on a
-/// site of 295 nodes one reads the store on a calm day, and still one when a
-/// third of the nodes are turned away by it. Not thread-safe.
+/// Selects the upstream nodes that this node requests updates from. All nodes
+/// that know the same nodes agree on an order of data centres and of nodes
+/// within each. A node uses only nodes before it, so updates never return to
+/// their origin, and the first one with access to the store reads it for all
+/// others. A node whose assigned upstream fails tries others before it, and
+/// reads the store only if these fail, too. Not thread-safe.
 class UpstreamSelector {
 public:
-  /// The nodes to ask in this round, one after the other until one has current
-  /// news. Empty for the first node of all, and where all have failed lately.
+  /// Returns the nodes to try in this round, in order, until one has current
+  /// updates. Empty for the first node of all, and if all candidates are backed
+  /// off.
   std::vector<NodeInfo> nextCandidates(const NodeTable &Nodes,
                                        const NodeInfo &Me, TimePoint Now) const;
-  /// All other nodes, as a node asks them that lost the store and all before
-  /// it: those of its data centre first, from its place on.
+  /// Returns all other nodes, for a node that has lost the store and every node
+  /// before it: those of its data centre first, starting after its own place.
   std::vector<NodeInfo> fallbackCandidates(const NodeTable &Nodes,
                                            const NodeInfo &Me,
                                            TimePoint Now) const;
-  /// The node did not answer.
+  /// The node did not respond.
   void onFailure(const NodeId &Node, TimePoint Now) {
-    this->Failures.onFailure(Node, Now);
+    this->Backoff.onFailure(Node, Now);
   }
-  /// The node answered that it has nothing current.
+  /// The node responded without current updates.
   void onStale(const NodeId &Node, TimePoint Now) {
-    this->Failures.backOffUntil(Node, Now + StaleTime);
+    this->Backoff.backOffUntil(Node, Now + StaleDelay);
   }
-  void onSuccess(const NodeId &Node) { this->Failures.onSuccess(Node); }
+  void onSuccess(const NodeId &Node) { this->Backoff.onSuccess(Node); }
   bool isBackedOff(const NodeId &Node, TimePoint Now) const {
-    return this->Failures.isBackedOff(Node, Now);
+    return this->Backoff.isBackedOff(Node, Now);
   }
 
 private:
-  /// Nodes asked in a round; each may cost the time for a connection.
-  static constexpr std::size_t MostAsked = 3;
-  /// Of each other data centre; the others there ask these.
-  static constexpr std::size_t AskedOfCentre = 2;
-  /// A node with old news has new ones about a round after it gets the store
-  /// back; until then those behind it in the order are asked.
-  static constexpr Millis StaleTime{400};
+  /// Maximum candidates per round; each may cost a connect timeout.
+  static constexpr std::size_t MaxCandidates = 3;
+  /// Candidates from each other data centre; the other nodes there use these.
+  static constexpr std::size_t CandidatesPerCentre = 2;
+  /// A node without current updates is skipped for this long, about the time it
+  /// needs to catch up after it has reached the store again.
+  static constexpr Millis StaleDelay{400};
 
-  NodeBackoff Failures;
+  NodeBackoff Backoff;
 };
 
-/// Pauses between a node's calls to a store that fails.
+/// Range of the interval between calls of a node to a store that fails.
 struct ProbeBackoff {
   Millis Min;
   Millis Max;
 };
 
-/// How often a node tries a store that fails, where \p Nodes nodes try: the
-/// first of each data centre soon, since all others learn from it; the others
-/// so rarely that all together make some 50 calls a second, however many they
-/// are. One that alone has lost the store learns from others meanwhile.
-ProbeBackoff probeBackoff(std::size_t Nodes, bool First);
+/// Returns the interval at which a node retries a store that fails, when \p
+/// Nodes nodes do. The first node of each data centre retries soon, since all
+/// others learn from it. The rate of the others is bounded over all nodes
+/// together.
+ProbeBackoff probeBackoff(std::size_t Nodes, bool IsFirst);
 
 } // namespace waycove
--- a/tests/property/fold_property.cpp
+++ b/tests/property/fold_property.cpp
@@ -2,8 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// The fold's promises under random records, in random order, from racing and
-// stale proposers.
+// Invariants of the fold under random records, in random order, from racing and
+// outdated proposers.
 #include "policy/fold.h"
 #include "policy/idempotency.h"
 
@@ -34,7 +34,7 @@
   return pack("d", Start, std::move(Change));
 }
 
-/// A proposer: what it last saw of the state, which may be long ago.
+/// A proposer with a possibly outdated view of the state.
 struct Proposer {
   FoldState Seen;
 
@@ -88,7 +88,7 @@
     for (int Step : Steps) {
       Proposer &Who = Proposers[static_cast<std::size_t>(Step % 3)];
       auto Slot = static_cast<std::uint32_t>(Step / 3 % 4);
-      // A third of the steps bring a proposer up to date.
+      // A third of the steps update a proposer.
       if (Step / 12 == 0) {
         Who.Seen = State;
         continue;
@@ -123,7 +123,7 @@
         rc::gen::tuple(rc::gen::inRange(0, 6), rc::gen::inRange(0, 4),
                        rc::gen::inRange(0, 1'500'000)));
     for (auto [KeyNumber, Who, Jump] : Steps) {
-      // Writers' clocks differ, and may go back.
+      // The clocks of writers differ, and may go back.
       Ms = Ms + static_cast<std::uint64_t>(Jump) - 200'000;
       auto Row = std::make_unique<wire::ClaimKeyT>();
       Row->workspace = "w";
@@ -195,7 +195,7 @@
     FoldState State;
     State.fold(Offset(0), Good);
     std::uint64_t Before = State.digest();
-    // Half of the cases damage something whole, half are noise.
+    // Half of the cases damage a valid record, half are random bytes.
     std::string Bytes = *rc::gen::element(Good, Checkpoint, std::string());
     for (int I = *rc::gen::inRange(1, 6); I > 0 && !Bytes.empty(); --I)
       Bytes[*rc::gen::inRange<std::size_t>(0, Bytes.size())] ^=
@@ -237,7 +237,7 @@
         Table.finishUnknown(Id);
         break;
       default:
-        // Never past the window.
+        // Never beyond the window.
         Now = std::min<std::uint64_t>(Now + 900'000, Start + 3'500'000);
         Table.prune(WallMs(Now));
       }
--- a/tests/property/parsers_property.cpp
+++ b/tests/property/parsers_property.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Every parser that we own: settings, objects, frames, JSON bodies, keys.
+// All parsers of this project: settings, objects, frames, JSON bodies, keys.
 #include "base/json.h"
 #include "base/settings.h"
 #include "edge/request.h"
@@ -23,7 +23,8 @@
   return {std::istreambuf_iterator<char>(File), {}};
 }
 
-/// \p Whole with a few bytes changed, cut out or doubled, or plain noise.
+/// Returns \p Whole with a few bytes changed, removed or doubled, or random
+/// bytes.
 std::string damaged(const std::string &Whole) {
   std::string Text = *rc::gen::element(Whole, Whole, Whole, std::string());
   for (int I = *rc::gen::inRange(0, 8); I > 0 && !Text.empty(); --I) {
--- a/tests/property/policy_property.cpp
+++ b/tests/property/policy_property.cpp
@@ -83,7 +83,7 @@
     const std::string *Value = Subject.find(Row.Key);
     bool Expected = Value && (*Value == Row.Values[0]) != Row.Negated;
     RC_ASSERT(One.matches(Subject) == Expected);
-    // Narrowing never allows more.
+    // Narrowing never allows more labels.
     Selector Two = One;
     Two.require({"k0", {"v0"}, false});
     RC_ASSERT(!Two.matches(Subject) || One.matches(Subject));
@@ -140,7 +140,7 @@
   }));
 }
 
-/// What decideRetry has to do, by how an attempt ended.
+/// Expected decision by the outcome of an attempt.
 struct RetryCase {
   AttemptOutcome End;
   bool Repeatable;
--- a/tests/unit/choice_load_test.cpp
+++ b/tests/unit/choice_load_test.cpp
@@ -2,18 +2,11 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Where requests go when many nodes choose, each by what little it sees itself,
-// in virtual time. The loads that these answer:
-//
-// - A group opens, and the next request of every node goes there, since nothing
-//   is known against it: 57 at once before 22 places, and 60 in 100 of all
-//   answers that were late on a calm day of 295 nodes came from groups that had
-//   opened less than six seconds ago.
-// - A data centre loses some of its groups, and its callers stay. On a day of
-//   295 nodes in five data centres, which lose six VMs in turn, 97 in 100
-//   requests went to groups of their own data centre; the one or two groups of
-//   16 VMs that were left there had up to 25 requests under way, with 8 at
-//   others, and 69 in 100 of the first events from there came late.
+// Simulates in virtual time how the requests of many nodes are distributed,
+// when each node chooses targets by its own observations and delayed reports.
+// Guards against two failures: all nodes send their next request to a group
+// that has just opened, and a data centre that loses groups overloads the
+// remaining ones while others are idle.
 #include "policy/centre_balance.h"
 #include "policy/choice.h"
 #include "support/times.h"
@@ -30,13 +23,13 @@
 constexpr int StepMs = 5;
 constexpr unsigned Slots = 22;
 constexpr double PromptTokens = 700;
-constexpr double ReadPerMs = 46;
+constexpr double PromptTokensPerMs = 46;
 constexpr int Events = 18;
-/// What nodes tell each other is this old.
-constexpr int NewsMs = 500;
-constexpr int NewsEveryMs = 250;
-/// Operators' objective for the first event.
-constexpr int AimMs = 400;
+/// Age of reports between nodes.
+constexpr int ReportAgeMs = 500;
+constexpr int ReportIntervalMs = 250;
+/// Latency objective for the first event.
+constexpr int ObjectiveMs = 400;
 
 struct Job {
   std::size_t Node = 0;
@@ -46,8 +39,8 @@
   int Made = 0;
 };
 
-/// A group that reads prompts one after the other and writes to up to Slots
-/// requests at a time, the slower the more there are.
+/// A group that processes prompts one after the other and generates for up to
+/// Slots requests at a time, slower with more of them.
 struct Engine {
   std::deque<Job> Queue;
   std::list<Job> Running;
@@ -56,7 +49,7 @@
 
 } // namespace
 
-/// Nodes of one or more data centres before groups of one model.
+/// Simulates nodes and groups of one model in one or more data centres.
 class ChoiceLoadFixture {
 public:
   struct Sample {
@@ -65,11 +58,13 @@
     std::size_t Group;
   };
 
-  /// \p Nodes nodes in one data centre, ten requests a second for each group.
+  /// Builds \p Nodes nodes in one data centre, with ten requests a second for
+  /// each group.
   void build(std::size_t Nodes, std::size_t Groups) {
     this->build(Nodes, std::vector<std::size_t>{Groups});
   }
-  /// \p Nodes nodes in each data centre, ten requests a second for each group.
+  /// Builds \p Nodes nodes in each data centre, with ten requests a second for
+  /// each group.
   void build(std::size_t Nodes, const std::vector<std::size_t> &Groups) {
     this->NodesEach = Nodes;
     this->Weights.resize(Groups.size(), 1);
@@ -87,7 +82,7 @@
     this->Engines.resize(std::max(this->Engines.size(), Group + 1));
     this->Rows.push_back({Row, "m"});
   }
-  /// The first \p Count groups of the data centre take no more requests.
+  /// Removes the first \p Count groups of the data centre.
   void lose(std::size_t Centre, std::size_t Count) {
     for (auto Row = this->Rows.begin(); Count > 0 && Row != this->Rows.end();)
       if (Row->Target->DataCentre == centre(Centre)) {
@@ -100,7 +95,7 @@
   void run(int Ms) {
     double PerStep = this->PerSecond * StepMs / 1000;
     for (int End = this->NowMs + Ms; this->NowMs < End; this->NowMs += StepMs) {
-      if (this->NowMs % NewsEveryMs == 0)
+      if (this->NowMs % ReportIntervalMs == 0)
         this->spreadNews();
       std::poisson_distribution<int> Draw(PerStep);
       for (int Left = Draw(this->Random); Left > 0; --Left)
@@ -112,19 +107,19 @@
             std::max(this->MostInFlight[I], this->Engines[I].inFlight());
     }
   }
-  /// Part of the first events that came later than the objective, of requests
-  /// sent from \p FromMs on.
+  /// Fraction of first events later than the objective, of requests sent from
+  /// \p FromMs on.
   double late(int FromMs) const {
     double All = 0;
     double Late = 0;
     for (const Sample &Row : this->Samples)
       if (Row.SentMs >= FromMs) {
         ++All;
-        Late += Row.FirstByteMs > AimMs ? 1 : 0;
+        Late += Row.FirstByteMs > ObjectiveMs ? 1 : 0;
       }
     return All > 0 ? Late / All : 0;
   }
-  /// Part of the requests sent from \p FromMs on that left their data centre.
+  /// Fraction of requests sent from \p FromMs on that left their data centre.
   double left(int FromMs) const {
     double All = 0;
     double Left = 0;
@@ -141,7 +136,7 @@
   std::vector<CentreBalance> Balance;
   std::size_t NodesEach = 1;
   double PerSecond = 0;
-  /// Of the requests, by data centre.
+  /// By data centre of the request.
   std::vector<double> Weights;
   std::vector<Engine> Engines;
   std::map<std::size_t, std::size_t> MostInFlight;
@@ -159,7 +154,7 @@
     return centre(Node / this->NodesEach);
   }
 
-  /// The node that the next request comes to.
+  /// The node that receives the next request.
   std::size_t draw() {
     std::discrete_distribution<std::size_t> Centre(this->Weights.begin(),
                                                    this->Weights.end());
@@ -195,7 +190,7 @@
       Row.Running.push_back(Row.Queue.front());
       Row.Queue.pop_front();
     }
-    double Reads = ReadPerMs * StepMs;
+    double Reads = PromptTokensPerMs * StepMs;
     double EventMs =
         8 * (6.07 + 0.12 * static_cast<double>(Row.Running.size()));
     for (auto At = Row.Running.begin(); At != Row.Running.end();) {
@@ -231,22 +226,22 @@
     for (const TargetStatsTable &Row : this->Seen)
       for (const auto &[Target, Load] : Row.loads(at(this->NowMs)))
         Sum[Target].add(Load);
-    this->News.push_back(std::move(Sum));
-    if (this->News.size() <= NewsMs / NewsEveryMs)
+    this->Reports.push_back(std::move(Sum));
+    if (this->Reports.size() <= ReportAgeMs / ReportIntervalMs)
       return;
     ServingView View;
     View.ByService[Pool.Service] = this->Rows;
     for (std::size_t I = 0; I < this->Seen.size(); ++I) {
-      this->Seen[I].setReports(this->News.front(), at(this->NowMs));
+      this->Seen[I].setReports(this->Reports.front(), at(this->NowMs));
       this->Balance[I].update(
           centreLoads(View, this->Seen[I], this->centreOf(I), at(this->NowMs)),
           at(this->NowMs));
     }
-    this->News.pop_front();
+    this->Reports.pop_front();
   }
 
   const PoolKey Pool{ServiceId("s"), "m"};
-  std::deque<TargetLoads> News;
+  std::deque<TargetLoads> Reports;
 };
 
 TEST_CASE_METHOD(
@@ -272,7 +267,7 @@
   CAPTURE(Nodes);
   CHECK(this->MostInFlight[12] <= Slots);
   CHECK(this->late(10000) < 0.02);
-  // It gets its part nevertheless.
+  // It still receives its part of the requests.
   CHECK(this->MostInFlight[12] >= 8);
 }
 
@@ -292,8 +287,8 @@
   this->run(10000);
   CAPTURE(Nodes, this->late(5000), this->left(5000));
   CHECK(this->late(8000) < 0.02);
-  // No more of them than need be: bytes between data centres cost.
-  // Where nodes are few, each sees how busy targets are for itself.
+  // Traffic between data centres is costly, so no more than needed. With few
+  // nodes, each observes the load of the targets itself.
   if (Nodes == 60)
     CHECK(this->left(5000) < 0.15);
 }
@@ -314,11 +309,11 @@
   const PoolKey Pool{ServiceId("s"), "m"};
   CentreBalance Balance;
   std::vector<CentreBalance::Change> Changes;
-  /// Rounds of news that tell \p Load, for ten seconds.
-  void tell(const CentreLoad &Load) {
-    for (int Ms = 0; Ms < 10000; Ms += NewsEveryMs) {
+  /// Ten seconds of reports of \p Load.
+  void report(const CentreLoad &Load) {
+    for (int Ms = 0; Ms < 10000; Ms += ReportIntervalMs) {
       auto New = this->Balance.update({{this->Pool, Load}},
-                                      at(this->NowMs += NewsEveryMs));
+                                      at(this->NowMs += ReportIntervalMs));
       this->Changes.insert(this->Changes.end(), New.begin(), New.end());
     }
   }
@@ -337,17 +332,17 @@
                  "balance of data centres: this one is busier: requests leave "
                  "until it is not",
                  "[unit]") {
-  this->tell({20, 10});
+  this->report({20, 10});
   CHECK(this->Balance.localFraction(this->Pool) == 0);
-  this->tell({5, 10});
+  this->report({5, 10});
   CHECK(this->Balance.localFraction(this->Pool) == 1);
 }
 
 TEST_CASE_METHOD(CentreBalanceFixture,
                  "balance of data centres: no busier than by chance: all stays",
                  "[unit]") {
-  // 40 requests at four targets, where 36 are usual.
-  this->tell({10, 9, 4});
+  // 40 requests at four targets, 36 expected.
+  this->report({10, 9, 4});
   CHECK(this->Balance.localFraction(this->Pool) == 1);
 }
 
@@ -355,7 +350,7 @@
                  "balance of data centres: hardly anything is under way: all "
                  "stays nearly",
                  "[unit]") {
-  this->tell({0.02, 0.01});
+  this->report({0.02, 0.01});
   CHECK(this->Balance.localFraction(this->Pool) == 1);
 }
 
@@ -363,10 +358,10 @@
                  "balance of data centres: this one becomes busier and eases: "
                  "told once each",
                  "[unit]") {
-  this->tell({20, 10});
+  this->report({20, 10});
   REQUIRE(this->Changes.size() == 1);
   CHECK(this->Changes[0].Busy);
-  this->tell({5, 10});
+  this->report({5, 10});
   REQUIRE(this->Changes.size() == 2);
   CHECK_FALSE(this->Changes[1].Busy);
 }
@@ -375,9 +370,9 @@
                  "balance of data centres: half of the targets fall out: half "
                  "of the requests leave at once",
                  "[unit]") {
-  this->tell({10, 10, 8});
+  this->report({10, 10, 8});
   this->Balance.update({{this->Pool, {10, 10, 4}}}, at(11000));
-  // Some of them come back in the same round, since none is busier than others.
+  // Some return in the same round, since no data centre is busier than others.
   CHECK(this->Balance.localFraction(this->Pool) >= 0.5);
   CHECK(this->Balance.localFraction(this->Pool) < 0.55);
 }
@@ -385,7 +380,7 @@
 TEST_CASE_METHOD(CentreBalanceFixture,
                  "balance of data centres: no more news come: all stays again",
                  "[unit]") {
-  this->tell({20, 10});
+  this->report({20, 10});
   this->Balance.update({}, at(20000));
   CHECK(this->Balance.localFraction(this->Pool) == 1);
 }
--- a/tests/unit/entry_policy_test.cpp
+++ b/tests/unit/entry_policy_test.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Decisions of an entry: routes, choice of targets, second sends, leases.
+// Decisions of an entry node: routes, choice of targets, retries, leases.
 #include "platform/decode.h"
 #include "policy/choice.h"
 #include "policy/domain_plan.h"
@@ -141,28 +141,28 @@
 }
 
 TEST_CASE("second sends: over any window: within ratio and slack", "[unit]") {
-  RetryLimit Given{0.2, 50, Millis(10000)};
-  RetryLimiter Spend(Given);
+  RetryLimit Limit{0.2, 50, Millis(10000)};
+  RetryLimiter Limiter(Limit);
   int Taken = 0;
   for (int Ms = 0; Ms < 10000; Ms += 10) {
-    Spend.onRequest(at(Ms));
-    Taken += Spend.take(0.5, at(Ms));
+    Limiter.onRequest(at(Ms));
+    Taken += Limiter.take(0.5, at(Ms));
   }
   CHECK(Taken <= 0.2 * 1000 + 25);
   CHECK(Taken > 100);
-  CHECK_FALSE(Spend.allows(0.5, at(9990)));
-  // What lies a window back counts no longer.
-  CHECK(Spend.take(0.5, at(31000)));
+  CHECK_FALSE(Limiter.allows(0.5, at(9990)));
+  // Requests and retries before the window do not count.
+  CHECK(Limiter.take(0.5, at(31000)));
 }
 
 TEST_CASE("lease: counted from the question: an old one never shortens it",
           "[unit]") {
-  Lease Row;
-  CHECK_FALSE(Row.holds(at(0)));
-  Row.renew(at(0), Millis(100));
-  Row.renew(at(-50), Millis(100));
-  CHECK(Row.holds(at(99)));
-  CHECK_FALSE(Row.holds(at(100)));
+  Lease Held;
+  CHECK_FALSE(Held.holds(at(0)));
+  Held.renew(at(0), Millis(100));
+  Held.renew(at(-50), Millis(100));
+  CHECK(Held.holds(at(99)));
+  CHECK_FALSE(Held.holds(at(100)));
 }
 
 struct FleetFixture {
@@ -231,8 +231,7 @@
   }
   ChoiceQuery Query;
   Query.Now = at(0);
-  // Also where the listed one is in doubt or has refused: the other may have
-  // left.
+  // Also if the listed one is suspect or has refused: the other may have left.
   Stats.suspect({VmId("listed"), {}}, at(0), Millis(500));
   for (unsigned I = 0; I < 20; ++I) {
     Query.Random = mixHash(7, I);
@@ -255,7 +254,7 @@
     Rows.push_back({Target, ""});
   }
   Stats.onResponseHead({VmId("closing"), {}}, true);
-  // One request is there: the other target would be the better choice.
+  // By load alone, the other target would be chosen.
   Stats.onStart({VmId("staying"), {}}, 0, at(0));
   ChoiceQuery Query;
   Query.Now = at(10);
--- a/tests/unit/partition_membership_test.cpp
+++ b/tests/unit/partition_membership_test.cpp
@@ -2,9 +2,8 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Who takes part in the shared work. The load that this answers: every member
-// renews its lease for as long as it lives, whether or not it holds anything,
-// so that renewals grow with the nodes and not with the work.
+// Membership of the nodes that partitions are assigned to. Guards against
+// renewals that grow with the number of nodes.
 #include "policy/partition_membership.h"
 #include "support/times.h"
 
@@ -12,10 +11,10 @@
 
 namespace waycove::test {
 
-/// A data centre of nodes that all know each other, and hear of renewals
-/// after the time that news takes over four hops.
-struct ShareMembersFixture {
-  explicit ShareMembersFixture(int Count = 59) {
+/// Nodes of a data centre that all know each other and learn of renewals with a
+/// delay.
+struct PartitionMembershipFixture {
+  explicit PartitionMembershipFixture(int Count = 59) {
     NodeTable Nodes;
     for (int I = 0; I < Count; ++I) {
       NodeInfo Row;
@@ -28,7 +27,7 @@
       this->Rows[Row.Node];
   }
 
-  /// Lets \p Ms go by; members renew every 0.5 s, and each node decides then.
+  /// Advances by \p Ms; members renew every 0.5 s, and each node decides then.
   void run(int Ms) {
     for (int End = this->NowMs + Ms; this->NowMs < End; this->NowMs += Step)
       for (auto &[Id, Row] : this->Rows)
@@ -51,7 +50,7 @@
   }
 
   static constexpr int Step = 500;
-  static constexpr int NewsMs = 1000;
+  static constexpr int DelayMs = 1000;
   static constexpr std::size_t Wanted = 6;
 
   struct Node {
@@ -70,7 +69,7 @@
     MembershipRenewals Known;
     for (const auto &[Other, Times] : this->RenewedMs)
       for (int Ms : Times)
-        if (Ms + NewsMs <= this->NowMs || Other == Id)
+        if (Ms + DelayMs <= this->NowMs || Other == Id)
           Known.record(memberHash(Other), at(Ms));
     Row.Member = Row.Decision.decide({this->Order, Id, Known, Wanted,
                                       this->HoldsPartitions, at(this->NowMs)});
@@ -87,7 +86,7 @@
   CHECK(requiredMembers(12, 0) == 13);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: many nodes start: as many as are wanted",
                  "[unit]") {
   this->run(500);
@@ -99,12 +98,12 @@
 }
 
 TEST_CASE("share members: fewer nodes than are wanted: all of them", "[unit]") {
-  ShareMembersFixture Few(3);
+  PartitionMembershipFixture Few(3);
   Few.run(500);
   CHECK(Few.members() == 3);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: some members die: the next nodes step in",
                  "[unit]") {
   this->run(5000);
@@ -114,7 +113,7 @@
   CHECK(this->members() <= Wanted + 4);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: all members die: others step in, not all",
                  "[unit]") {
   this->run(5000);
@@ -124,7 +123,7 @@
   CHECK(this->members() <= 2 * Wanted);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: the first nodes are back: those that hold "
                  "nothing go",
                  "[unit]") {
@@ -136,7 +135,7 @@
   CHECK(this->members() == Wanted);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: a member holds parts: it stays", "[unit]") {
   this->run(5000);
   this->kill(0, 4);
@@ -148,7 +147,7 @@
   CHECK(this->members() == Before);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: the directory does not list this node: it "
                  "takes part in the end",
                  "[unit]") {
--- a/tests/unit/rewrite_test.cpp
+++ b/tests/unit/rewrite_test.cpp
@@ -2,15 +2,15 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// What daemons write again where the log came back from an older copy, and what
-// the copy's checkpoints are worth then.
+// Records that daemons write again after the log was restored from an older
+// copy, and checkpoints of an earlier era.
 #include "policy/rewrite.h"
 
 #include <catch2/catch.hpp>
 
 namespace waycove::test {
 
-/// A log, and the state that its records make.
+/// A log and the state of its records.
 struct LogFixture {
   void append(wire::RecordT Record, std::uint64_t Written) {
     Record.id = "r" + std::to_string(this->Records.size());
@@ -56,14 +56,15 @@
   static ObjectRef selector(const std::string &Name, const FoldState &Of) {
     return Of.object({ObjectKind::Selector, Name});
   }
-  /// The state that the first \p Count records make in \p Era.
+  /// Returns the state of the first \p Count records in \p Era.
   FoldState foldFirst(std::size_t Count, std::uint64_t Era) const {
     FoldState Copy{Offset(packPosition(StoreEra(Era), 0))};
     for (std::size_t I = 0; I < Count; ++I)
       Copy.fold(Copy.next(), this->Records[I]);
     return Copy;
   }
-  /// Has all of \p Lost folded into \p Into; whether each is settled then.
+  /// Folds all of \p Lost into \p Into and returns true if each is settled
+  /// then.
   static bool write(const std::vector<wire::RecordT> &Lost, FoldState &Into) {
     for (const wire::RecordT &Row : Lost)
       Into.fold(Into.next(), packRecord(Row));
@@ -164,7 +165,7 @@
   CHECK(Resumed.digest() == Straight.digest());
   CHECK(selector("a", Resumed)->Revision >
         selector("a", this->State)->Revision);
-  // Not without being taken into the era, and not back from a later one.
+  // Fails without conversion to the era, and from a later one.
   FoldState Fresh{Offset(packPosition(StoreEra(3), 0))};
   CHECK_FALSE(Fresh.load(Saved).ok());
   CHECK_FALSE(this->State.load(Saved).ok());
--- a/tests/unit/upstream_selector_test.cpp
+++ b/tests/unit/upstream_selector_test.cpp
@@ -2,12 +2,10 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Who asks whom for news, and how many calls to the platform's store that
-// leaves, in virtual time for many nodes. The loads that these answer: on a
-// site of 295 nodes calls cost more than all else together. A store that turned
-// a third of the nodes away, or was gone for six seconds, was tried by each
-// node on its own, three feeds on two connections each, and a node whose one
-// reader had failed read the registry itself at every change.
+// Simulates in virtual time which upstream nodes are requested for updates, and
+// how many calls to the store remain. Guards against every node trying a
+// failing store by itself, and against nodes reading the store when one
+// upstream node fails.
 #include "control/keyed_feed.h"
 #include "policy/upstream_selector.h"
 #include "support/times.h"
@@ -20,21 +18,20 @@
 
 namespace {
 
-constexpr Millis RoundTime{250};
-constexpr Millis SearchTime{900};
-constexpr Millis ReadEvery{1200};
-/// Of 4 s, as maxAge() has it.
-constexpr Millis MostAge{3400};
-/// Half of it, as canServeFeed() has it.
+constexpr Millis RoundInterval{250};
+constexpr Millis SearchTimeout{900};
+constexpr Millis ReadInterval{1200};
+/// As maxAge() for a bound of 4 s.
+constexpr Millis MaxAge{3400};
+/// Half of the bound, as in canServeFeed().
 constexpr Millis OwnAge{2000};
 constexpr int StepMs = 50;
 
 } // namespace
 
-/// Nodes of some data centres that follow one feed, as NewsExchange and
-/// StoreReader do it: rounds of asking in the order of UpstreamSelector, and
-/// reads of the store where nobody reads for a node or what it knows is too
-/// old.
+/// Nodes of several data centres that follow one feed, as NewsExchange and
+/// StoreReader do: rounds of requests in the order of UpstreamSelector, and
+/// reads of the store if no node serves this one or its state is too old.
 class NewsFixture {
 public:
   void build(int Count, int Centres) {
@@ -62,7 +59,7 @@
         if (!Row.Dead)
           this->step(Id, Row);
   }
-  /// The node that is first of all.
+  /// The first node in the order of all.
   NodeId first() const {
     return readerOrder(this->Nodes, dataCentreOrder(this->Nodes).front())
         .front()
@@ -96,7 +93,7 @@
   };
   NodeTable Nodes;
   std::map<NodeId, Row> Rows;
-  /// Which nodes the store answers, and which reach each other.
+  /// Which nodes the store responds to, and which reach each other.
   std::function<bool(const NodeId &)> StoreAnswers = [](const NodeId &) {
     return true;
   };
@@ -110,14 +107,14 @@
     const Row &Peer = this->Rows[Of];
     TimePoint Now = at(this->NowMs);
     return (Peer.Relayed || Now - Peer.OwnProvenAt < OwnAge) &&
-           Now - Peer.ProvenAt <= MostAge;
+           Now - Peer.ProvenAt <= MaxAge;
   }
 
   void step(const NodeId &Id, Row &Me) {
     TimePoint Now = at(this->NowMs);
     if (this->NowMs % 250 == Me.RoundMs)
       this->round(Id, Me, Now);
-    bool Old = Now - Me.ProvenAt >= MostAge;
+    bool Old = Now - Me.ProvenAt >= MaxAge;
     if ((Me.Relayed && !Old) || Now < Me.ReadDue)
       return;
     ++this->Calls;
@@ -128,7 +125,7 @@
     }
     Me.Waits.reset();
     Me.ProvenAt = Me.OwnProvenAt = Now;
-    Me.ReadDue = Now + ReadEvery;
+    Me.ReadDue = Now + ReadInterval;
   }
 
   void round(const NodeId &Id, Row &Me, TimePoint Now) {
@@ -147,8 +144,8 @@
         return;
       }
     }
-    bool Old = Now - Me.ProvenAt >= MostAge;
-    if (Now - Me.HeardAt >= SearchTime || Old || Before.empty())
+    bool Old = Now - Me.ProvenAt >= MaxAge;
+    if (Now - Me.HeardAt >= SearchTimeout || Old || Before.empty())
       Me.Relayed = false;
     if (!Me.Failed)
       return;
@@ -168,7 +165,7 @@
   this->build(Size, Size > 100 ? 5 : 3);
   this->run(10000);
   CHECK(this->callsPerSecond(10000) <= 2);
-  CHECK(this->oldest() < MostAge);
+  CHECK(this->oldest() < MaxAge);
 }
 
 TEST_CASE_METHOD(
@@ -182,9 +179,9 @@
     return Id != First && !this->isThird(Id);
   };
   this->run(9000);
-  // Tries of the nodes that are turned away come on top.
+  // Rejected calls add to these.
   CHECK(this->callsPerSecond(9000) <= 25);
-  CHECK(this->oldest() < MostAge + 2 * RoundTime);
+  CHECK(this->oldest() < MaxAge + 2 * RoundInterval);
 }
 
 TEST_CASE_METHOD(NewsFixture,
@@ -195,11 +192,11 @@
   this->build(Size, Size > 100 ? 5 : 3);
   this->StoreAnswers = [](const NodeId &) { return false; };
   this->run(8000);
-  // One each when what it knows is too old, and some 50 a second together.
+  // One per node when its state is too old, and some 50 a second together.
   CHECK(this->Calls <= Size + 8 * 80);
   this->StoreAnswers = [](const NodeId &) { return true; };
   this->run(1500);
-  CHECK(this->oldest() < MostAge);
+  CHECK(this->oldest() < MaxAge);
 }
 
 TEST_CASE_METHOD(NewsFixture,
@@ -210,7 +207,7 @@
   this->Rows[this->first()].Dead = true;
   this->run(8000);
   CHECK(this->callsPerSecond(8000) <= 4);
-  CHECK(this->oldest() < MostAge);
+  CHECK(this->oldest() < MaxAge);
 }
 
 TEST_CASE_METHOD(NewsFixture,
@@ -222,7 +219,7 @@
     Row.Dead = this->isThird(Id);
   this->run(8000);
   CHECK(this->callsPerSecond(8000) <= 8);
-  CHECK(this->oldest() < MostAge);
+  CHECK(this->oldest() < MaxAge);
 }
 
 TEST_CASE_METHOD(NewsFixture,
@@ -258,7 +255,7 @@
         Route.nextCandidates(this->Nodes, Order[I], at(0));
     REQUIRE_FALSE(Asked.empty());
     ++Askers[Asked.front().Node];
-    // The first of all is asked where the one that is given fails.
+    // The first node is requested if the assigned one fails.
     CHECK((Asked.front().Node == Order[0].Node ||
            Asked[1].Node == Order[0].Node));
   }
@@ -281,7 +278,7 @@
   Route.onStale(Order[0].Node, at(100));
   CHECK(Route.nextCandidates(this->Nodes, Order[30], at(200)).front().Node ==
         Order[1].Node);
-  // One with old news is asked again sooner than one that is dead.
+  // A node with stale updates is retried sooner than one that is dead.
   CHECK(Route.nextCandidates(this->Nodes, Order[30], at(600)).front().Node ==
         Order[0].Node);
   Route.onSuccess(Given);
@@ -289,8 +286,8 @@
         Given);
 }
 
-/// The nodes of one data centre restart at once, and each needs what is known
-/// from the node that it asks, over that one's link.
+/// The nodes of one data centre restart together, and each needs the state from
+/// its upstream node, over the link of that node.
 class RestartFixture {
 public:
   static constexpr double FillMb = 0.1;
@@ -306,7 +303,7 @@
     }
     this->Order = readerOrder(this->Nodes, DataCentreId("c0"));
   }
-  /// When the last node knows all, in seconds after the first.
+  /// When the last node has the state, in seconds after the first.
   double lastFilled() const {
     std::map<std::size_t, int> Askers;
     for (std::size_t I = 1; I < this->Order.size(); ++I)
--- a/tools/without.py
+++ b/tools/without.py
@@ -66,7 +66,7 @@
         "vitals: a target stands still elsewhere"),
     "resting-part": (
         "src/policy/connections.cpp",
-        "RestingPart * MostOfAll * EvenShare", "1.0 * MostOfAll",
+        "IdleFraction * TotalLimit * EvenShare", "1.0 * TotalLimit",
         "connections: many nodes"),
     "unreached-out": (
         "src/control/member_prober.h",
@@ -87,7 +87,8 @@
         "load budget"),
     "doubts-shared": (
         "src/policy/target_stats.cpp",
-        "return There && Now - this->ToldAt", "return false && Now - this->ToldAt",
+        "return There && Now - this->ReportedAt",
+        "return false && Now - this->ReportedAt",
         "vitals: another node left"),
     "load-queue": (
         "src/policy/load_schedule.cpp",
@@ -282,7 +283,7 @@
         "config: the log forgot"),
     "few-members": (
         "src/policy/partition_membership.cpp",
-        "if (Row.OthersBefore < Lacking)\n    return true;", "return true;",
+        "if (Result.OthersBefore < Missing)\n    return true;", "return true;",
         "share members:"),
     "next-before": (
         "src/policy/upstream_selector.cpp",
@@ -291,8 +292,8 @@
         "news route:"),
     "probe-pace": (
         "src/policy/upstream_selector.cpp",
-        "return {Most == FewNodesPause ? LeastPause : Most / 2, Most};",
-        "return {LeastPause, FewNodesPause};",
+        "return {Max == SmallSiteInterval ? MinInterval : Max / 2, Max};",
+        "return {MinInterval, SmallSiteInterval};",
         "news route:"),
     "told-at-start": (
         "src/control/news.cpp",
@@ -305,7 +306,7 @@
         "feed cache: a whole page repeats"),
     "unknown-usual": (
         "src/policy/choice.cpp",
-        "double Known = Usual;", "double Known = 0;",
+        "double Expected = ModelMean;", "double Expected = 0;",
         "choice of many nodes"),
     "loads-shown": (
         "src/policy/load_schedule.cpp",
