--- a/src/policy/centre_balance.cpp
+++ b/src/policy/centre_balance.cpp
@@ -60,20 +60,20 @@
   CentreLoads Loads;
   if (!Stats.hasReports(Now))
     return Loads;
-  for (const auto &[Service, Rows] : View.ByService) {
+  for (const auto &[Service, Targets] : View.ByService) {
     std::map<std::string, LoadSum> Local;
     std::map<std::string, LoadSum> All;
-    for (const ServingTarget &Row : Rows) {
-      const VmIncarnation Target = Row.Target->incarnation();
-      if (Row.Retained || Stats.isSuspect(Target, Now))
+    for (const ServingTarget &Serving : Targets) {
+      const VmIncarnation Target = Serving.Target->incarnation();
+      if (Serving.Retained || Stats.isSuspect(Target, Now))
         continue;
       double Requests = inFlight(Target, Stats, Now);
-      All[Row.Model].add(Requests);
-      if (Row.Target->DataCentre == Here)
-        Local[Row.Model].add(Requests);
+      All[Serving.Model].add(Requests);
+      if (Serving.Target->DataCentre == Here)
+        Local[Serving.Model].add(Requests);
     }
-    for (const auto &[Model, Row] : Local)
-      Loads[{Service, Model}] = {Row.mean(), All[Model].mean(), Row.Targets};
+    for (const auto &[Model, Sum] : Local)
+      Loads[{Service, Model}] = {Sum.mean(), All[Model].mean(), Sum.Targets};
   }
   return Loads;
 }
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -38,14 +38,14 @@
 
 /// Returns the mean first-byte time that this node measured for the targets of
 /// the model, or 0 if it has no measurement.
-double meanFirstByteMs(const std::vector<ServingTarget> &Rows,
+double meanFirstByteMs(const std::vector<ServingTarget> &Targets,
                        const TargetStatsTable &Stats,
                        const std::string &Model) {
   double Sum = 0;
   int Measured = 0;
-  for (const ServingTarget &Row : Rows) {
-    double Ms = Stats.of(Row.Target->incarnation()).FirstByteMs;
-    if (Row.Model != Model || Ms == 0)
+  for (const ServingTarget &Candidate : Targets) {
+    double Ms = Stats.of(Candidate.Target->incarnation()).FirstByteMs;
+    if (Candidate.Model != Model || Ms == 0)
       continue;
     Sum += Ms;
     ++Measured;
@@ -72,53 +72,58 @@
   return Expected;
 }
 
-double expectedWaitMs(const ServingTarget &Row, const TargetStatsTable &Stats,
-                      const ChoiceQuery &Query, double ModelMean) {
-  const VmIncarnation Target = Row.Target->incarnation();
-  const TargetStats &Observed = Stats.of(Target);
+double expectedWaitMs(const ServingTarget &Candidate,
+                      const TargetStatsTable &Stats, const ChoiceQuery &Query,
+                      double ModelMean) {
+  const VmIncarnation Incarnation = Candidate.Target->incarnation();
+  const TargetStats &Observed = Stats.of(Incarnation);
   double Wait = expectedFirstByteMs(Observed, ModelMean, Query.Now) +
                 WaitPerRequestMs * Observed.InFlight +
                 WaitPerThousandTokensMs * Observed.PromptWaiting / 1000;
-  if (!Query.AnyDataCentre && Row.Target->DataCentre != Query.Here)
+  if (!Query.AnyDataCentre && Candidate.Target->DataCentre != Query.Here)
     Wait += OtherCentreMs;
-  if (Stats.isSuspect(Target, Query.Now))
+  if (Stats.isSuspect(Incarnation, Query.Now))
     Wait += SuspectMs;
   return Wait;
 }
 
 /// Returns true if the target may be leaving.
-bool mayBeLeaving(const ServingTarget &Row, const TargetStatsTable &Stats,
+bool mayBeLeaving(const ServingTarget &Candidate, const TargetStatsTable &Stats,
                   const ChoiceQuery &Query) {
-  return Row.Retained ||
-         (Query.RegistryStale && Stats.of(Row.Target->incarnation()).Closing);
+  return Candidate.Retained ||
+         (Query.RegistryStale &&
+          Stats.of(Candidate.Target->incarnation()).Closing);
 }
 
 /// Returns true if some target of the model is certainly staying.
-bool anyStaying(const std::vector<ServingTarget> &Rows,
+bool anyStaying(const std::vector<ServingTarget> &Targets,
                 const TargetStatsTable &Stats, const ChoiceQuery &Query) {
-  return std::any_of(Rows.begin(), Rows.end(), [&](const ServingTarget &Row) {
-    return Row.Model == Query.Model && !mayBeLeaving(Row, Stats, Query);
-  });
+  return std::any_of(Targets.begin(), Targets.end(),
+                     [&](const ServingTarget &Candidate) {
+                       return Candidate.Model == Query.Model &&
+                              !mayBeLeaving(Candidate, Stats, Query);
+                     });
 }
 
 } // namespace
 
-const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
+const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Targets,
                                   const TargetStatsTable &Stats,
                                   const ChoiceQuery &Query) {
   const ServingTarget *Best = nullptr;
   double BestWait = 0;
-  double ModelMean = meanFirstByteMs(Rows, Stats, Query.Model);
-  bool HasStaying = anyStaying(Rows, Stats, Query);
-  for (std::size_t I = 0; I < Rows.size(); ++I) {
-    const ServingTarget &Row = Rows[I];
-    if (Row.Model != Query.Model || isAvoided(Query, Row.Target->Id) ||
-        (HasStaying && mayBeLeaving(Row, Stats, Query)))
+  double ModelMean = meanFirstByteMs(Targets, Stats, Query.Model);
+  bool HasStaying = anyStaying(Targets, Stats, Query);
+  for (std::size_t I = 0; I < Targets.size(); ++I) {
+    const ServingTarget &Candidate = Targets[I];
+    if (Candidate.Model != Query.Model ||
+        isAvoided(Query, Candidate.Target->Id) ||
+        (HasStaying && mayBeLeaving(Candidate, Stats, Query)))
       continue;
-    double Wait =
-        expectedWaitMs(Row, Stats, Query, ModelMean) + jitter(Query.Random, I);
+    double Wait = expectedWaitMs(Candidate, Stats, Query, ModelMean) +
+                  jitter(Query.Random, I);
     if (!Best || Wait < BestWait) {
-      Best = &Row;
+      Best = &Candidate;
       BestWait = Wait;
     }
   }
--- a/src/policy/choice.h
+++ b/src/policy/choice.h
@@ -32,7 +32,7 @@
 /// penalty. Targets that may be leaving are used only if no other target serves
 /// the model: those retained after their entry vanished and, while the registry
 /// view is stale, those that close their connections.
-const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Rows,
+const ServingTarget *chooseTarget(const std::vector<ServingTarget> &Targets,
                                   const TargetStatsTable &Stats,
                                   const ChoiceQuery &Query);
 
--- a/src/policy/crash_blame.cpp
+++ b/src/policy/crash_blame.cpp
@@ -18,11 +18,11 @@
 /// last change and its hash.
 using SortKey = std::tuple<std::size_t, TimePoint, ContentHash>;
 
-std::size_t countWithout(const std::set<TargetHash> &CrashedTargets,
-                         const std::set<TargetHash> &Explained) {
-  return static_cast<std::size_t>(
-      std::count_if(CrashedTargets.begin(), CrashedTargets.end(),
-                    [&](TargetHash End) { return !Explained.contains(End); }));
+std::size_t countUnexplained(const std::set<TargetHash> &CrashedTargets,
+                             const std::set<TargetHash> &Explained) {
+  return static_cast<std::size_t>(std::count_if(
+      CrashedTargets.begin(), CrashedTargets.end(),
+      [&](TargetHash Target) { return !Explained.contains(Target); }));
 }
 
 /// Returns the contents with the most unexplained crashes, if these are enough
@@ -34,7 +34,7 @@
   std::size_t Max = 0;
   std::vector<ContentHash> Likely;
   for (const auto &[Content, CrashedTargets] : Remaining) {
-    std::size_t Count = countWithout(CrashedTargets, Explained);
+    std::size_t Count = countUnexplained(CrashedTargets, Explained);
     if (Count < std::max(Max, CrashesNeeded(Content)))
       continue;
     if (Count > Max)
@@ -85,15 +85,15 @@
     return false;
   const std::set<TargetHash> &CrashedTargets =
       At->second.Evidence.CrashedTargets;
-  auto IsAtAll = [&](ContentHash Other) {
-    auto Row = this->Rows.find(Other);
-    return Other != Content && Row != this->Rows.end() &&
-           std::includes(Row->second.Evidence.CrashedTargets.begin(),
-                         Row->second.Evidence.CrashedTargets.end(),
+  auto RanAtAll = [&](ContentHash Other) {
+    auto OtherAt = this->Rows.find(Other);
+    return Other != Content && OtherAt != this->Rows.end() &&
+           std::includes(OtherAt->second.Evidence.CrashedTargets.begin(),
+                         OtherAt->second.Evidence.CrashedTargets.end(),
                          CrashedTargets.begin(), CrashedTargets.end());
   };
   return CrashedTargets.size() == CrashesToBlame ||
-         std::any_of(this->Blamed.begin(), this->Blamed.end(), IsAtAll);
+         std::any_of(this->Blamed.begin(), this->Blamed.end(), RanAtAll);
 }
 
 std::size_t CrashBlame::crashesNeeded(ContentHash Content) const {
@@ -115,7 +115,7 @@
 void CrashBlame::recordServed(ContentHash Content, TimePoint Now) {
   this->Served.add(Content);
   std::size_t Dropped = std::erase_if(
-      this->Losses, [&](const Loss &Row) { return Row.Content == Content; });
+      this->Losses, [&](const Loss &Lost) { return Lost.Content == Content; });
   auto At = this->Rows.find(Content);
   bool Suspected =
       At != this->Rows.end() && !At->second.Evidence.CrashedTargets.empty();
@@ -134,13 +134,13 @@
 }
 
 void CrashBlame::confirm(const std::vector<Loss> &Crashes, TimePoint Now) {
-  for (const Loss &Row : Crashes) {
-    Entry &Into = this->Rows[Row.Content];
-    std::uint32_t Before = this->Served.contains(Row.Content) ? 1 : 0;
-    if (Into.Evidence.merge({std::max(Into.Evidence.TimesServed, Before),
-                             Into.Evidence.TrialDone,
-                             {hashOf(Row.Target)}}))
-      Into.ChangedAt = Now;
+  for (const Loss &Lost : Crashes) {
+    Entry &Known = this->Rows[Lost.Content];
+    std::uint32_t Before = this->Served.contains(Lost.Content) ? 1 : 0;
+    if (Known.Evidence.merge({std::max(Known.Evidence.TimesServed, Before),
+                              Known.Evidence.TrialDone,
+                              {hashOf(Lost.Target)}}))
+      Known.ChangedAt = Now;
   }
   this->forget();
   this->blame();
@@ -148,11 +148,11 @@
 
 void CrashBlame::merge(const CrashEvidenceMap &Reported, TimePoint Now) {
   bool Changed = false;
-  for (const auto &[Content, Row] : Reported) {
-    Entry &Into = this->Rows[Content];
-    if (!Into.Evidence.merge(Row))
+  for (const auto &[Content, Evidence] : Reported) {
+    Entry &Known = this->Rows[Content];
+    if (!Known.Evidence.merge(Evidence))
       continue;
-    Into.ChangedAt = Now;
+    Known.ChangedAt = Now;
     Changed = true;
   }
   if (!Changed)
@@ -164,15 +164,15 @@
 template <typename F>
 CrashEvidenceMap CrashBlame::pick(F IsWanted, std::size_t Max) const {
   std::vector<SortKey> Order;
-  for (const auto &[Content, Row] : this->Rows)
-    if (IsWanted(Content, Row))
-      Order.emplace_back(Row.Evidence.CrashedTargets.size(), Row.ChangedAt,
+  for (const auto &[Content, Known] : this->Rows)
+    if (IsWanted(Content, Known))
+      Order.emplace_back(Known.Evidence.CrashedTargets.size(), Known.ChangedAt,
                          Content);
   std::sort(Order.rbegin(), Order.rend());
   Order.resize(std::min(Order.size(), Max));
   CrashEvidenceMap Picked;
-  for (const SortKey &Row : Order) {
-    auto Content = std::get<ContentHash>(Row);
+  for (const SortKey &Key : Order) {
+    auto Content = std::get<ContentHash>(Key);
     Picked[Content] = this->Rows.at(Content).Evidence;
   }
   return Picked;
@@ -180,8 +180,8 @@
 
 CrashEvidenceMap CrashBlame::recentRows(TimePoint Now) const {
   return this->pick(
-      [&](ContentHash, const Entry &Row) {
-        return Now - Row.ChangedAt < ReportDuration;
+      [&](ContentHash, const Entry &Known) {
+        return Now - Known.ChangedAt < ReportDuration;
       },
       MaxReported);
 }
@@ -203,19 +203,19 @@
   std::set<TargetHash> CrashedTargets;
   if (auto At = this->Rows.find(Content); At != this->Rows.end())
     CrashedTargets = At->second.Evidence.CrashedTargets;
-  for (const Loss &Row : this->Losses)
-    if (Row.Content == Content)
-      CrashedTargets.insert(hashOf(Row.Target));
+  for (const Loss &Lost : this->Losses)
+    if (Lost.Content == Content)
+      CrashedTargets.insert(hashOf(Lost.Target));
   return CrashedTargets;
 }
 
 CrashesByContent CrashBlame::evidence() const {
   std::set<ContentHash> Likely;
-  for (const auto &[Content, Row] : this->Rows)
-    if (Row.Evidence.CrashedTargets.size() >= CrashesToBlame)
+  for (const auto &[Content, Known] : this->Rows)
+    if (Known.Evidence.CrashedTargets.size() >= CrashesToBlame)
       Likely.insert(Content);
-  for (const Loss &Row : this->Losses)
-    Likely.insert(Row.Content);
+  for (const Loss &Lost : this->Losses)
+    Likely.insert(Lost.Content);
   CrashesByContent Remaining;
   for (ContentHash Content : Likely)
     if (std::set<TargetHash> CrashedTargets = this->crashedTargetsOf(Content);
@@ -252,8 +252,8 @@
   if (this->Rows.size() <= MaxContents)
     return;
   std::vector<SortKey> Order;
-  for (const auto &[Content, Row] : this->Rows)
-    Order.emplace_back(Row.Evidence.CrashedTargets.size(), Row.ChangedAt,
+  for (const auto &[Content, Known] : this->Rows)
+    Order.emplace_back(Known.Evidence.CrashedTargets.size(), Known.ChangedAt,
                        Content);
   std::sort(Order.begin(), Order.end());
   for (std::size_t I = 0; I < Order.size() - MaxContents; ++I)
--- a/src/policy/fold.cpp
+++ b/src/policy/fold.cpp
@@ -196,13 +196,13 @@
   // 4. Dissolve the old group and form the new one atomically.
   this->dropGroup(Replaces);
   if (!Change.vms.empty()) {
-    Group Fresh{Fence(this->Next.Value), Place, DomainId(Change.domain), {}};
+    Group Formed{Fence(this->Next.Value), Place, DomainId(Change.domain), {}};
     for (const auto &Row : Change.vms) {
-      Fresh.Vms.emplace_back(Row->vm);
-      this->Vms[VmId(Row->vm)] = {this->Next.Value, Fresh.Id};
+      Formed.Vms.emplace_back(Row->vm);
+      this->Vms[VmId(Row->vm)] = {this->Next.Value, Formed.Id};
     }
-    this->Slots[Place] = Fresh.Id;
-    this->Groups.emplace(Fresh.Id, std::move(Fresh));
+    this->Slots[Place] = Formed.Id;
+    this->Groups.emplace(Formed.Id, std::move(Formed));
   }
   Outcome.Accepted = Outcome.TouchesRouting = true;
   Outcome.Reason = Place.Deployment.Text + "/" +
@@ -226,9 +226,9 @@
       Outcome.Holders.emplace_back();
       continue;
     }
-    auto [At, Fresh] = this->Claims.try_emplace(
+    auto [At, Inserted] = this->Claims.try_emplace(
         Id, Claim{IncarnationId(Batch.dispatcher), Issued});
-    if (Fresh)
+    if (Inserted)
       this->ClaimAges.emplace(Issued, Id);
     Outcome.Holders.push_back(At->second.Dispatcher);
   }
@@ -398,10 +398,10 @@
     return makeError(ErrorKind::Internal, "checkpoint older than the state");
   // 2. Build a separate state, so that an invalid object leaves the current
   // state unchanged.
-  FoldState Fresh;
-  Fresh.Next = Offset(Saved.next);
-  Fresh.LastRecord = Saved.last_record;
-  Fresh.Clock = WallMs(Saved.clock_ms);
+  FoldState Loaded;
+  Loaded.Next = Offset(Saved.next);
+  Loaded.LastRecord = Saved.last_record;
+  Loaded.Clock = WallMs(Saved.clock_ms);
   for (const auto &Row : Saved.objects) {
     ValidationErrors Found;
     std::vector<Object> Parsed = parseObjects("object", Row->body, Found);
@@ -410,10 +410,10 @@
     Parsed[0].Revision = Row->revision;
     Parsed[0].Written = WallMs(Row->written_ms);
     Parsed[0].Body = Row->body;
-    Fresh.putObject(std::make_shared<const Object>(std::move(Parsed[0])));
+    Loaded.putObject(std::make_shared<const Object>(std::move(Parsed[0])));
   }
   for (const auto &Row : Saved.vms)
-    Fresh.Vms[VmId(Row->vm)] = {Row->stamp, Fence(Row->group)};
+    Loaded.Vms[VmId(Row->vm)] = {Row->stamp, Fence(Row->group)};
   for (const auto &Row : Saved.groups) {
     Group Formed{Fence(Row->fence),
                  {DeploymentId(Row->deployment), DataCentreId(Row->data_centre),
@@ -422,16 +422,16 @@
                  {}};
     for (const std::string &Vm : Row->vms)
       Formed.Vms.emplace_back(Vm);
-    Fresh.Slots[Formed.Place] = Formed.Id;
-    Fresh.Groups.emplace(Formed.Id, std::move(Formed));
+    Loaded.Slots[Formed.Place] = Formed.Id;
+    Loaded.Groups.emplace(Formed.Id, std::move(Formed));
   }
   for (const auto &Row : Saved.claims) {
     ClaimId Id{WorkspaceId(Row->workspace), IdempotencyKey(Row->key)};
     WallMs Issued(Row->issued_ms);
-    Fresh.Claims[Id] = {IncarnationId(Row->dispatcher), Issued};
-    Fresh.ClaimAges.emplace(Issued, Id);
+    Loaded.Claims[Id] = {IncarnationId(Row->dispatcher), Issued};
+    Loaded.ClaimAges.emplace(Issued, Id);
   }
-  *this = std::move(Fresh);
+  *this = std::move(Loaded);
   return absl::OkStatus();
 }
 
--- a/src/policy/idempotency.cpp
+++ b/src/policy/idempotency.cpp
@@ -38,11 +38,11 @@
 
 bool IdempotencyTable::begin(const ClaimId &Id, std::uint64_t Fingerprint,
                              WallMs Issued) {
-  auto [At, Fresh] = this->Entries.try_emplace(
+  auto [At, Inserted] = this->Entries.try_emplace(
       Id, Entry{IdempotencyState::Running, Fingerprint, Issued, std::nullopt});
-  if (Fresh)
+  if (Inserted)
     this->Ages.emplace(Issued, Id);
-  return Fresh;
+  return Inserted;
 }
 
 void IdempotencyTable::abandon(const ClaimId &Id) {
@@ -90,9 +90,9 @@
 }
 
 void IdempotencyTable::markUnknown(const ClaimId &Id, WallMs Issued) {
-  auto [At, Fresh] = this->Entries.try_emplace(
+  auto [At, Inserted] = this->Entries.try_emplace(
       Id, Entry{IdempotencyState::Unknown, std::nullopt, Issued, std::nullopt});
-  if (Fresh)
+  if (Inserted)
     this->Ages.emplace(Issued, Id);
 }
 
--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -12,13 +12,14 @@
 
 /// Orders the candidates differently for each slot, so that controllers that
 /// plan concurrently rarely choose the same VM.
-void shuffleFor(std::vector<PlanVm> &Rows, const SlotKey &Place) {
+void shuffleFor(std::vector<PlanVm> &Candidates, const SlotKey &Place) {
   std::uint64_t Seed =
       mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
-  std::sort(
-      Rows.begin(), Rows.end(), [&](const PlanVm &Left, const PlanVm &Right) {
-        return hashText(Left.Vm.Text, Seed) < hashText(Right.Vm.Text, Seed);
-      });
+  std::sort(Candidates.begin(), Candidates.end(),
+            [&](const PlanVm &Left, const PlanVm &Right) {
+              return hashText(Left.Vm.Text, Seed) <
+                     hashText(Right.Vm.Text, Seed);
+            });
 }
 
 /// Returns the domain that \p Need VMs fit best: the one with the fewest free
@@ -51,11 +52,11 @@
 } // namespace
 
 PlanPool::PlanPool(std::vector<PlanVm> Source) {
-  for (PlanVm &Row : Source) {
-    if (Row.Usable && Row.Group == Fence())
-      this->Free[Row.Domain].push_back(Row.Vm);
-    VmId Vm = Row.Vm;
-    this->Vms.emplace(std::move(Vm), std::move(Row));
+  for (PlanVm &Candidate : Source) {
+    if (Candidate.Usable && Candidate.Group == Fence())
+      this->Free[Candidate.Domain].push_back(Candidate.Vm);
+    VmId Vm = Candidate.Vm;
+    this->Vms.emplace(std::move(Vm), std::move(Candidate));
   }
 }
 
@@ -65,10 +66,10 @@
 }
 
 void PlanPool::take(const VmId &Vm) {
-  const PlanVm *Row = this->find(Vm);
-  if (!Row)
+  const PlanVm *Candidate = this->find(Vm);
+  if (!Candidate)
     return;
-  if (auto At = this->Free.find(Row->Domain); At != this->Free.end()) {
+  if (auto At = this->Free.find(Candidate->Domain); At != this->Free.end()) {
     std::erase(At->second, Vm);
     if (At->second.empty())
       this->Free.erase(At);
@@ -104,8 +105,9 @@
   std::vector<PlanVm> Remaining;
   if (Present)
     for (const VmId &Vm : Present->Vms)
-      if (const PlanVm *Row = Pool.find(Vm); Row && Row->Usable)
-        Remaining.push_back(*Row);
+      if (const PlanVm *Candidate = Pool.find(Vm);
+          Candidate && Candidate->Usable)
+        Remaining.push_back(*Candidate);
   if (Present && Remaining.size() == Need && Present->Vms.size() == Need)
     return std::nullopt;
   // 2. Complete the group within its domain, where members have the model
@@ -118,24 +120,24 @@
       Remaining.resize(Need);
     Plan.Domain = Present->Domain;
     Plan.Vms = Remaining;
-    for (const PlanVm &Row : Spares)
+    for (const PlanVm &Candidate : Spares)
       if (Plan.Vms.size() < Need)
-        Plan.Vms.push_back(Row);
+        Plan.Vms.push_back(Candidate);
   }
   // 3. Otherwise choose a domain with room for the whole group.
   if (Plan.Vms.empty())
     if (auto Domain =
             chooseDomain(Pool, Need, Place, Policy == RepairPolicy::Naive)) {
-      std::vector<PlanVm> Rows = Pool.freeIn(*Domain);
-      shuffleFor(Rows, Place);
-      Rows.resize(Need);
+      std::vector<PlanVm> Candidates = Pool.freeIn(*Domain);
+      shuffleFor(Candidates, Place);
+      Candidates.resize(Need);
       Plan.Domain = *Domain;
-      Plan.Vms = std::move(Rows);
+      Plan.Vms = std::move(Candidates);
     }
   if (Plan.Vms.empty() && !(Present && Release))
     return std::nullopt;
-  for (const PlanVm &Row : Plan.Vms)
-    Pool.take(Row.Vm);
+  for (const PlanVm &Candidate : Plan.Vms)
+    Pool.take(Candidate.Vm);
   return Plan;
 }
 
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -53,17 +53,17 @@
     const auto &Ring = this->View.Ring;
     auto At = static_cast<std::size_t>(
         std::lower_bound(Ring.begin(), Ring.end(), Place,
-                         [](const RingPoint &Row, std::uint64_t P) {
-                           return Row.Place < P;
+                         [](const RingPoint &Point, std::uint64_t P) {
+                           return Point.Place < P;
                          }) -
         Ring.begin());
     const RouteTarget *Last = Skip;
     for (std::size_t I = 0; I < std::min(Limit, Ring.size()); ++I) {
-      const RouteTarget &Row =
+      const RouteTarget &Candidate =
           this->View.Targets[Ring[(At + I) % Ring.size()].Target];
-      if (&Row != Skip && &Row != Last && this->usable(Row))
-        return &Row;
-      Last = &Row;
+      if (&Candidate != Skip && &Candidate != Last && this->usable(Candidate))
+        return &Candidate;
+      Last = &Candidate;
     }
     return nullptr;
   }
@@ -74,9 +74,9 @@
                           const RouteTarget *Skip) const {
     const auto &Rows = this->View.Targets;
     for (std::size_t I = 0; I < std::min(Limit, Rows.size()); ++I) {
-      const RouteTarget &Row = Rows[(Random + I) % Rows.size()];
-      if (&Row != Skip && this->usable(Row))
-        return &Row;
+      const RouteTarget &Candidate = Rows[(Random + I) % Rows.size()];
+      if (&Candidate != Skip && this->usable(Candidate))
+        return &Candidate;
     }
     return nullptr;
   }
@@ -95,9 +95,9 @@
   for (std::size_t I = 0; I < MaxRandomChoices; ++I) {
     if (I >= RandomChoices && Best && Search.load(*Best) < Slots)
       break;
-    const RouteTarget *Row = Search.near(Random, ProbeLimit, Best);
-    if (Row && (!Best || Search.load(*Row) < Search.load(*Best)))
-      Best = Row;
+    const RouteTarget *Candidate = Search.near(Random, ProbeLimit, Best);
+    if (Candidate && (!Best || Search.load(*Candidate) < Search.load(*Best)))
+      Best = Candidate;
     Random = mixHash(Random, I + 1);
   }
   // 2. Labels may exclude nearly all targets: then examine every one.
@@ -110,12 +110,12 @@
   const RouteTarget *Skip = nullptr;
   std::uint64_t Place = Search.Query.Affinity;
   for (std::size_t I = 0; I < AffinityChoices; ++I) {
-    const RouteTarget *Row = Search.from(Place, ProbeLimit, Skip);
-    if (!Row)
+    const RouteTarget *Candidate = Search.from(Place, ProbeLimit, Skip);
+    if (!Candidate)
       break;
-    if (Search.load(*Row) <= Search.load(*Best) + AffinitySlack)
-      return Row;
-    Skip = Row;
+    if (Search.load(*Candidate) <= Search.load(*Best) + AffinitySlack)
+      return Candidate;
+    Skip = Candidate;
   }
   return Best;
 }
@@ -133,7 +133,7 @@
 bool RouteTarget::allows(const Selector &Wanted) const {
   return !this->MemberLabels.empty() &&
          std::all_of(this->MemberLabels.begin(), this->MemberLabels.end(),
-                     [&](const Labels &Row) { return Wanted.matches(Row); });
+                     [&](const Labels &Own) { return Wanted.matches(Own); });
 }
 
 void RouteView::makeRing() {
--- a/tools/without.py
+++ b/tools/without.py
@@ -144,7 +144,7 @@
         "store reader: its call hangs and|leaving target: a node|neighbours: alone"),
     "kept-last": (
         "src/policy/choice.cpp",
-        "return Row.Retained ||", "return",
+        "return Candidate.Retained ||", "return",
         "choice: an entry is missing|leaving target: the reader alone"),
     "own-word": (
         "src/policy/choice.cpp",
@@ -233,7 +233,7 @@
         "not run: said only"),
     "once-table": (
         "src/policy/idempotency.cpp",
-        "return Fresh;\n}\n\nvoid IdempotencyTable::abandon",
+        "return Inserted;\n}\n\nvoid IdempotencyTable::abandon",
         "return true;\n}\n\nvoid IdempotencyTable::abandon",
         "once: key sent|once: any order"),
     "claims-first-wins": (
