--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -25,7 +25,8 @@
   this->Responding += Other.Responding;
   this->PromptWaiting += Other.PromptWaiting;
   this->LongestWait = std::max(this->LongestWait, Other.LongestWait);
-  this->SuspectFor = std::max(this->SuspectFor, Other.SuspectFor);
+  this->SuspectDuration =
+      std::max(this->SuspectDuration, Other.SuspectDuration);
 }
 
 bool TargetLoad::isStalled() const {
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -34,7 +34,7 @@
   /// Smoothed first-byte time in milliseconds; 0 if unknown.
   double FirstByteMs = 0;
   /// How long one of them still regards it as suspect.
-  Millis SuspectFor{0};
+  Millis SuspectDuration{0};
 
   /// Adds the observations of other nodes.
   void add(const TargetLoad &Other);
--- a/src/policy/target_stats.cpp
+++ b/src/policy/target_stats.cpp
@@ -143,7 +143,7 @@
       Load.LongestWait = std::chrono::duration_cast<Millis>(Now - *Oldest);
     Load.FirstByteMs = Sampled ? Stats.FirstByteMs : 0;
     if (Stats.SuspectUntil > Now)
-      Load.SuspectFor =
+      Load.SuspectDuration =
           std::chrono::duration_cast<Millis>(Stats.SuspectUntil - Now);
   }
   return Loads;
@@ -182,7 +182,7 @@
     return true;
   const TargetLoad *There = this->reportedLoad(Target, Now);
   bool HasProgress = Here.Responding > 0 && !Here.isStalled(Now);
-  return There && Now - this->ReportedAt < There->SuspectFor &&
+  return There && Now - this->ReportedAt < There->SuspectDuration &&
          !There->hasProgress() && !HasProgress;
 }
 
--- a/tests/unit/news_test.cpp
+++ b/tests/unit/news_test.cpp
@@ -392,7 +392,7 @@
   TargetHash Hash(hashText("head"));
   TargetLoad Load;
   // Other nodes no longer use the target, so it would look idle.
-  Load.SuspectFor = Millis(3000);
+  Load.SuspectDuration = Millis(3000);
   Stats.setReports({{Hash, Load}}, at(0));
   CHECK(Stats.isSuspect(Head, at(100)));
   ChoiceQuery Query;
@@ -418,11 +418,11 @@
   TargetStatsTable Stats;
   VmIncarnation Head{VmId("head"), {}};
   TargetLoad Load;
-  Load.SuspectFor = Millis(3000);
+  Load.SuspectDuration = Millis(3000);
   Stats.setReports({{hashOf(Head), Load}}, at(0));
   CHECK(Stats.loads(at(10)).empty());
   Stats.suspect(Head, at(0), Millis(500));
-  CHECK(Stats.loads(at(100)).begin()->second.SuspectFor == Millis(400));
+  CHECK(Stats.loads(at(100)).begin()->second.SuspectDuration == Millis(400));
 }
 
 /// Three nodes of one data centre and one of another.
--- a/tools/without.py
+++ b/tools/without.py
@@ -172,7 +172,7 @@
         "feed cache: told that the store"),
     "large-left-out": (
         "src/wire/news_frames.cpp",
-        "News->left_out = Deflated.size() > Most;", "News->left_out = false;",
+        "News->left_out = Deflated.size() > MaxBytes;", "News->left_out = false;",
         "news: a record is large"),
     "same-member": (
         "platform/store.cpp",
@@ -192,11 +192,11 @@
         "Token.Members != Way.View->VmsPerReplica", "false",
         "groups: a member other"),
     "fresh-reports": (
-        "src/control/members.cpp",
-        "if (Now - Row->Heard > this->freshFor())", "if (false)",
+        "src/control/member_reports.cpp",
+        "if (Now - Row->ReportedAt > this->freshDuration())", "if (false)",
         "groups: a member dies idle|groups: a member is frozen"),
     "fence-compared": (
-        "src/control/members.cpp",
+        "src/control/member_reports.cpp",
         "if (Row->Report.Group != Formed.Id)", "if (false)",
         "groups: a late order"),
     "stamps-compared": (
@@ -251,7 +251,7 @@
         "News.leaving.push_back(std::move(Out));", "Out.reset();",
         "leaving: the target itself"),
     "drain-waits": (
-        "src/control/grouper.h",
+        "src/control/group_controller.h",
         "return Over || Now - Idle->second > IdleBeforeReplace;",
         "return true;",
         "leaving: a drained group|leaving: fewer replicas"),
@@ -275,10 +275,10 @@
         "config: a daemon starts"),
     "records-from-peers": (
         "src/control/peers.cpp",
-        "this->askForRecords(Now);\n", "\n",
+        "this->requestRecords(Now);\n", "\n",
         "config: a daemon cut|config: a daemon starts while"),
     "checkpoint": (
-        "src/control/follow.h",
+        "src/control/log_follower.h",
         "if (Page->First > From || ", "if (false && ",
         "config: the log forgot"),
     "few-members": (
