--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// The fields that every line about a request has.
-LogFields fieldsOf(const RelayExchange &Ex) {
+/// The fields of every line about a request.
+LogFields requestFields(const RelayExchange &Ex) {
   LogFields Fields;
   TimePoint Now = SystemClock{}.now();
   Fields.add("after_ms",
@@ -31,29 +31,30 @@
 
 } // namespace
 
-void RelayLog::suspectTarget(const VmIncarnation &Target, Millis Time,
+void RelayLog::suspectTarget(const VmIncarnation &Target, Millis Duration,
                              const std::string &Reason,
-                             const RequestId &Because) {
+                             const RequestId &Cause) {
   TimePoint Now = SystemClock{}.now();
-  bool New = this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
-    bool Fresh = Stats.of(Target).SuspectUntil <= Now;
-    Stats.suspect(Target, Now, Time);
-    return Fresh;
-  });
-  if (!New)
+  bool NewlySuspected =
+      this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+        bool IsNew = Stats.of(Target).SuspectUntil <= Now;
+        Stats.suspect(Target, Now, Duration);
+        return IsNew;
+      });
+  if (!NewlySuspected)
     return;
   this->Board.Counters.add(Counter::TargetsSuspected);
   this->Board.Log.emit(EventCode::TargetSuspected, Target.Id.Text,
                        LogFields()
-                           .add("request", Because.Text)
+                           .add("request", Cause.Text)
                            .add("reason", Reason)
-                           .add("for_ms", Time));
+                           .add("for_ms", Duration));
 }
 
 void RelayLog::attemptEnded(const RelayExchange &Ex,
                             const RelayAttempt &Attempt) {
   this->Board.Log.emit(EventCode::AttemptEnded, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex)
+                       requestFields(Ex)
                            .add("target", Attempt.To.Target->Id.Text)
                            .add("address", Attempt.To.Target->Address.text())
                            .add("first_byte", Attempt.FirstByteSeen)
@@ -70,7 +71,7 @@
   if (End == AttemptOutcome::Done)
     this->Board.Log.emit(
         EventCode::RequestDone, Ex.Request.Info.Id.Text,
-        fieldsOf(Ex)
+        requestFields(Ex)
             .add("target", To.Target->Id.Text)
             .add("first_byte_ms", Ex.Progress.FirstByte.value_or(Millis(0))));
 }
@@ -79,7 +80,7 @@
                              const std::string &Reason) {
   this->Board.Log.emit(
       EventCode::RequestDone, Ex.Request.Info.Id.Text,
-      fieldsOf(Ex)
+      requestFields(Ex)
           .add("status", static_cast<int>(Ex.Progress.Failure->getStatus()))
           .add("reason", Reason));
 }
@@ -87,19 +88,19 @@
 void RelayLog::requestCut(const RelayExchange &Ex, const std::string &Reason) {
   this->Board.Counters.add(Counter::RequestsCut);
   this->Board.Log.emit(EventCode::RequestCut, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex).add("reason", Reason));
+                       requestFields(Ex).add("reason", Reason));
 }
 
 void RelayLog::requestRefused(const RelayExchange &Ex,
-                              const absl::Status &Why) {
-  const ErrorResponse &Row = responseFor(kindOf(Why));
+                              const absl::Status &Error) {
+  const ErrorResponse &Template = responseFor(kindOf(Error));
   this->Board.Counters.add(Counter::RequestsRefused);
   this->Board.Log.emit(EventCode::RequestRefused, Ex.Request.Info.Id.Text,
-                       fieldsOf(Ex)
-                           .add("kind", Row.Name)
-                           .add("status", Row.HttpStatus)
-                           .add("retry_after_ms", retryAfterOf(Why))
-                           .add("reason", messageOf(Why)));
+                       requestFields(Ex)
+                           .add("kind", Template.Name)
+                           .add("status", Template.HttpStatus)
+                           .add("retry_after_ms", retryAfterOf(Error))
+                           .add("reason", messageOf(Error)));
 }
 
 } // namespace waycove
--- a/tests/contract/target_contract.cpp
+++ b/tests/contract/target_contract.cpp
@@ -2,7 +2,7 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Contracts of engines and plain services, against the stand-in.
+// Engines and plain services as the daemon sees them, with the stand-in.
 #include "edge/target.h"
 #include "support/cluster.h"
 
@@ -95,25 +95,25 @@
           CHECK(Token.Group == Fence(5));
           CHECK(Token.Members == 1);
           CHECK(Token.Index == Seen++);
-          return TokenVerdict::Go;
+          return TokenVerdict::Accept;
         },
         Done);
     CHECK(End == Row.End);
     CHECK(Seen == Row.Tokens);
   }
   this->Run.vmFault("v-1", R"({"generate":"ok"})");
-  // The receiver's word ends it.
+  // The receiver ends the stream by returning false.
   EngineDone Done;
   auto Leave = [](const EngineToken &) { return TokenVerdict::CallerGone; };
   CHECK(Engine.generate(this->call(8), Leave, Done) ==
         AttemptOutcome::CallerGone);
-  // Resume goes on from the token named.
+  // A resumed stream starts at the given token index.
   EngineCall Rest = this->call(8);
   Rest.ResumeFrom = 6;
   std::uint64_t First = 99;
   auto Note = [&](const EngineToken &Token) {
     First = std::min(First, Token.Index);
-    return TokenVerdict::Go;
+    return TokenVerdict::Accept;
   };
   CHECK(Engine.generate(Rest, Note, Done) == AttemptOutcome::Done);
   CHECK(First == 6);
@@ -128,7 +128,7 @@
 
 TEST_CASE_METHOD(TargetFixture, "service call: each fault: its end",
                  "[contract]") {
-  HttpPlain Plain(this->Config, this->Counters);
+  HttpPlainService Plain(this->Config, this->Counters);
   for (const ServiceCase &Row :
        {ServiceCase{R"({"service":"ok"})", AttemptOutcome::Done},
         ServiceCase{R"({"service":"busy"})", AttemptOutcome::Refused},
