--- a/src/board/board.h
+++ b/src/board/board.h
@@ -11,7 +11,7 @@
 #include "board/record_tail.h"
 #include "board/table.h"
 #include "board/vms.h"
-#include "policy/once.h"
+#include "policy/idempotency.h"
 
 #include <Poco/Event.h>
 #include <atomic>
@@ -52,7 +52,7 @@
   Table<HealthTable, LockRank::Health> Health;
   Table<PeerTable, LockRank::Peers> Peers;
   Table<LoadTable, LockRank::Load> Load;
-  Table<OnceTable, LockRank::Idempotency> Idempotency;
+  Table<IdempotencyTable, LockRank::Idempotency> Idempotency;
   Table<RecordTail, LockRank::Tail> Tail;
 
   /// The newest state known to the platform or to peers was folded once.
--- a/src/board/entry_board.h
+++ b/src/board/entry_board.h
@@ -14,16 +14,16 @@
 #include "policy/crash_blame.h"
 #include "policy/group_load.h"
 #include "policy/lease.h"
-#include "policy/news_route.h"
-#include "policy/share_members.h"
-#include "policy/spend.h"
+#include "policy/partition_membership.h"
+#include "policy/retry_limiter.h"
+#include "policy/upstream_selector.h"
 
 #include <array>
 
 namespace waycove {
 
 /// Retry limiters by service.
-using RetryLimiterTable = std::map<ServiceId, RetrySpend>;
+using RetryLimiterTable = std::map<ServiceId, RetryLimiter>;
 
 /// This node's copy of a feed and the state of its own reads from the store.
 struct FeedState {
@@ -53,7 +53,7 @@
 
   /// The routing configuration in force; null if there is none.
   Table<RoutingConfigRef, LockRank::State> Routing;
-  Table<VitalsTable, LockRank::Load> TargetStats;
+  Table<TargetStatsTable, LockRank::Load> TargetStats;
   Table<CentreBalance, LockRank::Load> Balance;
   Table<Fleet, LockRank::Vms> Targets;
   Table<ServingViewRef, LockRank::Views> Serving;
@@ -68,7 +68,7 @@
   /// The announced entries, including this one.
   Table<NodeTable, LockRank::Health> Nodes;
   /// Renewals of the partition memberships in this data centre.
-  Table<ShareRenewals, LockRank::Peers> Renewals;
+  Table<MembershipRenewals, LockRank::Peers> Renewals;
 
   /// Indexed by FeedKind.
   std::array<FeedState, static_cast<std::size_t>(FeedKind::Count)> Feeds;
@@ -140,8 +140,8 @@
            Now - this->feedState(Kind).OwnProvenAt.get() < *Bound / 2;
   }
   /// Returns how often this node probes a failed store.
-  ProbePace storeProbePace() const {
-    return probePace(this->KnownNodeCount, this->FirstInCentre);
+  ProbeBackoff storeProbePace() const {
+    return probeBackoff(this->KnownNodeCount, this->FirstInCentre);
   }
   /// Returns this node's own directory entry.
   NodeInfo nodeInfo() const {
--- a/src/control/log_follower.h
+++ b/src/control/log_follower.h
@@ -166,7 +166,7 @@
   /// Returns true if the log has the last record of the checkpoint at the same
   /// position. A checkpoint of an earlier era may come from a daemon that had
   /// not noticed the restore; the log may then have another record there.
-  bool matchesLog(const CheckpointPlace &Place, StoreEra Era) {
+  bool matchesLog(const CheckpointPosition &Place, StoreEra Era) {
     std::uint64_t Next = withoutEra(Place.Next.Value);
     if (eraOf(Place.Next) == Era)
       return true;
@@ -195,7 +195,7 @@
       if (!Page.ok() || Page->Records.empty())
         return false;
       const std::string &Bytes = Page->Records[0].Bytes;
-      std::optional<CheckpointPlace> Place = placeOfCheckpoint(Bytes);
+      std::optional<CheckpointPosition> Place = checkpointPosition(Bytes);
       if (Place && this->matchesLog(*Place, Era) &&
           this->Fold.applyCheckpoint(Bytes, Era).ok())
         return true;
--- a/src/control/news.cpp
+++ b/src/control/news.cpp
@@ -44,7 +44,7 @@
   if (!this->hasAllFeeds())
     return this->bootstrap(Nodes, Now);
   std::vector<NodeInfo> Before =
-      this->Route.nextToAsk(Nodes, this->Board.nodeInfo(), Now);
+      this->Route.nextCandidates(Nodes, this->Board.nodeInfo(), Now);
   if (!this->queryUntilCurrent(Before)) {
     if (Before.empty() || !this->awaitsNewUpstream(SystemClock{}.now()))
       this->readStoreDirectly("no upstream node has current data");
@@ -58,7 +58,8 @@
 }
 
 void NewsExchange::updateReadOrder(const NodeTable &Nodes) {
-  std::vector<NodeInfo> Order = readersOf(Nodes, this->Board.Config.DataCentre);
+  std::vector<NodeInfo> Order =
+      readerOrder(Nodes, this->Board.Config.DataCentre);
   bool First = Order.empty() || Order.front().Node == this->Board.Config.Node;
   this->Board.KnownNodeCount = Nodes.size();
   this->Board.FirstInCentre = First;
@@ -80,10 +81,10 @@
   if (!Nodes.contains(this->Board.Config.Node))
     return BootstrapRoundInterval;
   NodeInfo Me = this->Board.nodeInfo();
-  std::vector<NodeInfo> Candidates = this->Route.nextToAsk(Nodes, Me, Now);
+  std::vector<NodeInfo> Candidates = this->Route.nextCandidates(Nodes, Me, Now);
   bool First = this->Board.FirstInCentre;
   if (First) {
-    Candidates = this->Route.afterAll(Nodes, Me, Now);
+    Candidates = this->Route.fallbackCandidates(Nodes, Me, Now);
     Candidates.resize(std::min(Candidates.size(), PeersPerRound));
   }
   for (const NodeInfo &Row : Candidates)
@@ -156,7 +157,7 @@
   if (Now < this->PeersDue)
     return;
   std::vector<NodeInfo> Others =
-      this->Route.afterAll(Nodes, this->Board.nodeInfo(), Now);
+      this->Route.fallbackCandidates(Nodes, this->Board.nodeInfo(), Now);
   std::size_t Count = std::min(Others.size(), PeersPerRound);
   for (std::size_t I = 0; I < Count; ++I, ++this->NextPeer)
     if (this->queryPeer(Others[this->NextPeer % Others.size()])) {
@@ -174,7 +175,7 @@
   TimePoint SentAt = SystemClock{}.now();
   absl::StatusOr<wire::NewsT> News = this->query(Peer, SentAt);
   if (!News.ok())
-    this->Route.failed(Peer.Node, SystemClock{}.now());
+    this->Route.onFailure(Peer.Node, SystemClock{}.now());
   if (!News.ok() || !this->isCurrent(*News)) {
     this->Links.close(Peer.Node);
     return false;
@@ -191,17 +192,17 @@
   TimePoint SentAt = SystemClock{}.now();
   absl::StatusOr<wire::NewsT> News = this->query(Source, SentAt);
   if (!News.ok()) {
-    this->Route.failed(Source.Node, SystemClock{}.now());
+    this->Route.onFailure(Source.Node, SystemClock{}.now());
     this->LastFailure = messageOf(News.status());
     return false;
   }
   if (!this->isCurrent(*News)) {
-    this->Route.stale(Source.Node, SystemClock{}.now());
+    this->Route.onStale(Source.Node, SystemClock{}.now());
     this->Links.close(Source.Node);
     this->LastFailure = "its own news are old";
     return false;
   }
-  this->Route.answered(Source.Node);
+  this->Route.onSuccess(Source.Node);
   this->applyNews(*News, Source.Node, SentAt);
   this->LastUpdateAt = SystemClock{}.now();
   this->setUpstream(Source.Node);
--- a/src/control/news.h
+++ b/src/control/news.h
@@ -7,7 +7,7 @@
 #include "control/keyed_feed.h"
 #include "control/news_links.h"
 #include "control/shared_observations.h"
-#include "policy/news_route.h"
+#include "policy/upstream_selector.h"
 
 #include <array>
 
@@ -52,7 +52,7 @@
   EntryBoard &Board;
   SharedObservations &Observations;
   NewsLinks Links;
-  NewsRoute Route;
+  UpstreamSelector Route;
   /// When the upstream node last sent an update.
   TimePoint LastUpdateAt;
   /// How the last query of an upstream node failed.
--- a/src/control/registry_follower.h
+++ b/src/control/registry_follower.h
@@ -274,7 +274,7 @@
           RemovedIds.push_back(Id);
         }
     });
-    this->Board.TargetStats.write([&](VitalsTable &Rows) {
+    this->Board.TargetStats.write([&](TargetStatsTable &Rows) {
       for (const VmIncarnation &Target : Regrouped)
         Rows.onRegrouped(Target);
     });
--- a/src/control/store_reader.h
+++ b/src/control/store_reader.h
@@ -297,9 +297,9 @@
           LogFields()
               .add("reason", messageOf(Why))
               .add("after_ms", std::chrono::ceil<Millis>(Now - SentAt)));
-    ProbePace Pace = this->Board.storeProbePace();
+    ProbeBackoff Pace = this->Board.storeProbePace();
     int Factor = this->Kind == FeedKind::Nodes ? DirectoryBackoffFactor : 1;
-    return Link.RetryBackoff.next(Pace.Least * Factor, Pace.Most * Factor);
+    return Link.RetryBackoff.next(Pace.Min * Factor, Pace.Max * Factor);
   }
 
   /// The response is older than what this node knows, e.g. from a replica that
--- a/src/edge/attempts.cpp
+++ b/src/edge/attempts.cpp
@@ -28,10 +28,10 @@
   return Selected;
 }
 
-void Attempts::recordOutcome(const RouteTarget &Target, AttemptEnd End,
+void Attempts::recordOutcome(const RouteTarget &Target, AttemptOutcome End,
                              std::size_t TargetCount) {
-  bool Failed = End == AttemptEnd::NotSent || End == AttemptEnd::Broken ||
-                End == AttemptEnd::Stalled;
+  bool Failed = End == AttemptOutcome::NotSent ||
+                End == AttemptOutcome::Broken || End == AttemptOutcome::Stalled;
   bool Ejected = this->Tables.Load.write([&](LoadTable &Load) {
     TimePoint Now = SystemClock{}.now();
     Load.onEnd(Target.Key, Failed, Now);
@@ -56,14 +56,14 @@
 }
 
 RetryDecision Attempts::decide(const CallerRequest &Request,
-                               AttemptHistory &History, AttemptEnd End) {
+                               AttemptHistory &History, AttemptOutcome End) {
   AttemptFacts Facts{End, Request.Repeatable, History.Attempts,
                      SystemClock{}.now() >= Request.Deadline,
                      History.MayHaveRun};
   std::lock_guard Lock(this->BudgetMutex);
   RetryDecision Decision = decideRetry(Facts, this->Budget);
   History.MayHaveRun |=
-      End != AttemptEnd::NotSent && End != AttemptEnd::Refused;
+      End != AttemptOutcome::NotSent && End != AttemptOutcome::Refused;
   return Decision;
 }
 
--- a/src/edge/attempts.h
+++ b/src/edge/attempts.h
@@ -35,7 +35,7 @@
                             std::uint64_t Affinity);
   /// Records the outcome of an attempt and ejects a target that keeps failing.
   /// \p TargetCount is the number of targets of the request's plan.
-  void recordOutcome(const RouteTarget &Target, AttemptEnd End,
+  void recordOutcome(const RouteTarget &Target, AttemptOutcome End,
                      std::size_t TargetCount);
   /// Marks a target that reported itself as leaving, and has gossip pass that
   /// on to the peers.
@@ -43,7 +43,7 @@
   /// Decides whether to finish, retry or give up after an attempt that ended
   /// with \p End.
   RetryDecision decide(const CallerRequest &Request, AttemptHistory &History,
-                       AttemptEnd End);
+                       AttemptOutcome End);
   /// Records that the request is retried or resumed after failing on
   /// \p Target.
   void recordRetry(const CallerRequest &Request, const RouteTarget &Target,
--- a/src/edge/daemon.cpp
+++ b/src/edge/daemon.cpp
@@ -76,7 +76,8 @@
     WallMs Fold = this->Tables.State.read(
         [](const FoldState &State) { return State.clock(); });
     WallMs Now = std::min(Fold, SystemClock{}.wall());
-    this->Tables.Idempotency.write([&](OnceTable &Table) { Table.prune(Now); });
+    this->Tables.Idempotency.write(
+        [&](IdempotencyTable &Table) { Table.prune(Now); });
   }
 
   Board Tables;
--- a/src/edge/serve_model.h
+++ b/src/edge/serve_model.h
@@ -57,7 +57,7 @@
     while (true) {
       const RouteTarget *Target =
           this->TargetAttempts.choose(Plan, Request, History, Affinity);
-      AttemptEnd End = AttemptEnd::NotSent;
+      AttemptOutcome End = AttemptOutcome::NotSent;
       if (Target)
         End = this->attempt(Request, Plan, *Target, History, Progress, Sink);
       else
@@ -66,7 +66,7 @@
       RetryDecision Next = this->TargetAttempts.decide(Request, History, End);
       if (Next.Choice == RetryChoice::Finish)
         return this->finishModel(Request, Progress, Sink);
-      if (Next.Choice == RetryChoice::GiveUp || !Target)
+      if (Next.Choice == RetryChoice::Fail || !Target)
         return this->failModel(
             makeError(Next.Kind, History.Reason, DefaultRetryAfter), Progress,
             Sink);
@@ -79,9 +79,9 @@
 private:
   /// Runs one attempt at one group and records its outcome.
   template <ResponseSink SinkT>
-  AttemptEnd attempt(const CallerRequest &Request, const RoutePlan &Plan,
-                     const RouteTarget &Target, AttemptHistory &History,
-                     ResponseProgress &Progress, SinkT &Sink) {
+  AttemptOutcome attempt(const CallerRequest &Request, const RoutePlan &Plan,
+                         const RouteTarget &Target, AttemptHistory &History,
+                         ResponseProgress &Progress, SinkT &Sink) {
     ++History.Attempts;
     this->Tables.Counters.add(Counter::Attempts);
     EngineCall Call{
@@ -96,28 +96,28 @@
         this->Tables.Config.TokenStallTimeout,
         Request.Deadline};
     EngineDone Done;
-    AttemptEnd End = this->Models.generate(
+    AttemptOutcome End = this->Models.generate(
         Call,
         [&](const EngineToken &Token) {
           return this->handleToken(Request, Plan, Target, Token, Progress,
                                    Sink);
         },
         Done);
-    if (End == AttemptEnd::Done && Done.Tokens != Progress.Count) {
-      End = AttemptEnd::Broken;
+    if (End == AttemptOutcome::Done && Done.Tokens != Progress.Count) {
+      End = AttemptOutcome::Broken;
       Done.Reason = "tokens are missing";
     }
     History.Reason = Done.Reason.empty() ? "the target broke off" : Done.Reason;
     if (Done.Leaving)
       this->TargetAttempts.recordLeaving(Target);
-    if (End == AttemptEnd::Done)
+    if (End == AttemptOutcome::Done)
       this->Tables.Load.write([&](LoadTable &Load) {
         Load.onReport(Target.Key, Done.Queue, SystemClock{}.now());
       });
     this->TargetAttempts.recordOutcome(Target, End, Plan.View->Targets.size());
     // The engine may still be generating: cancel the request.
-    if (End != AttemptEnd::Done && End != AttemptEnd::NotSent &&
-        End != AttemptEnd::Refused)
+    if (End != AttemptOutcome::Done && End != AttemptOutcome::NotSent &&
+        End != AttemptOutcome::Refused)
       this->Cancels.post([this, At = Target.Address, Id = Call.Request] {
         this->Models.cancel(At, Id);
       });
--- a/src/entry/caller_server.h
+++ b/src/entry/caller_server.h
@@ -115,11 +115,11 @@
   bool serveOne(Channel &Caller) {
     CallerLimits Limits = this->limits();
     if (Caller.buffer().empty() &&
-        !this->waitForRequest(Caller, Limits.IdleTime))
+        !this->waitForRequest(Caller, Limits.IdleTimeout))
       return false;
     RelayRequest Request;
     Request.ArrivedAt = SystemClock{}.now();
-    TimePoint Until = Request.ArrivedAt + Limits.HeaderTime;
+    TimePoint Until = Request.ArrivedAt + Limits.HeaderTimeout;
     if (!this->readHead(Caller, Limits, Until, Request.Head))
       return false;
     auto Body = requestBody(Request.Head);
@@ -158,12 +158,12 @@
   }
 
   /// Waits for the next request's first bytes. Returns false if none arrive.
-  bool waitForRequest(Channel &Caller, Millis IdleTime) {
+  bool waitForRequest(Channel &Caller, Millis IdleTimeout) {
     {
       std::lock_guard Lock(this->IdleMutex);
       this->Idle.insert(&Caller);
     }
-    TimePoint Until = SystemClock{}.now() + IdleTime;
+    TimePoint Until = SystemClock{}.now() + IdleTimeout;
     IoStatus Status = Caller.waitReadable(Until);
     {
       std::lock_guard Lock(this->IdleMutex);
@@ -182,7 +182,7 @@
         return this->refuse(Caller, 400, "the body's chunks are malformed");
       if (Body.isDone())
         return true;
-      if (Caller.fill(SystemClock{}.now() + Limits.IdleTime) != IoStatus::Ok)
+      if (Caller.fill(SystemClock{}.now() + Limits.IdleTimeout) != IoStatus::Ok)
         return false;
     }
   }
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -80,10 +80,10 @@
       if (Ex.Progress.SentCount > 0 &&
           !this->Policy.takeRetry(Ex.Request.Service, Now))
         return this->fail(Ex, "no second sends left in this window", false);
-      AttemptEnd End = this->attempt(Ex, Selected->To, Now);
-      if (End == AttemptEnd::Done || End == AttemptEnd::CallerGone)
+      AttemptOutcome End = this->attempt(Ex, Selected->To, Now);
+      if (End == AttemptOutcome::Done || End == AttemptOutcome::CallerGone)
         return this->Log.requestDone(Ex, Selected->To, End);
-      if (End == AttemptEnd::Broken || End == AttemptEnd::Stalled)
+      if (End == AttemptOutcome::Broken || End == AttemptOutcome::Stalled)
         ++Ex.Progress.MayHaveRun;
       if (!RelayPolicy::mayRetry(Ex.Request, Ex.Progress))
         return this->fail(Ex, Ex.Progress.Reason,
@@ -91,8 +91,8 @@
     }
   }
 
-  AttemptEnd attempt(RelayExchange &Ex, const ServingTarget &To,
-                     TimePoint SelectedAt) {
+  AttemptOutcome attempt(RelayExchange &Ex, const ServingTarget &To,
+                         TimePoint SelectedAt) {
     RelayAttempt Attempt;
     Attempt.To = To;
     const VmIncarnation Target = To.Target->incarnation();
@@ -100,31 +100,31 @@
     if (!this->connect(Ex, Attempt)) {
       this->Log.suspectTarget(Target, UnreachableDuration, Attempt.Reason,
                               Ex.Request.Info.Id);
-      return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
+      return this->endAttempt(Ex, Attempt, AttemptOutcome::NotSent);
     }
     Attempt.SentAt = SystemClock{}.now();
     if (Attempt.SentAt - SelectedAt > MaxSelectionAge) {
       // The target may have left since: select again. It stays eligible.
       Ex.Progress.Tried.pop_back();
       Attempt.Reason = "this machine stood still";
-      return this->endAttempt(Ex, Attempt, AttemptEnd::NotSent);
+      return this->endAttempt(Ex, Attempt, AttemptOutcome::NotSent);
     }
     auto Prompt = static_cast<double>(Ex.Request.Info.PromptTokens);
     Attempt.LastByte = Attempt.SentAt;
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onStart(Target, Prompt, Attempt.SentAt);
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onStart(Target, Prompt, Attempt.SentAt);
     });
-    AttemptEnd End = this->exchange(Ex, Attempt);
+    AttemptOutcome End = this->exchange(Ex, Attempt);
     this->Policy.recordOutcome(Ex.Request, Attempt, End, SystemClock{}.now());
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onEnd(Target, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
-      if (End != AttemptEnd::CallerGone)
-        TargetStats.onOutcome(Target, End == AttemptEnd::Broken,
-                              SystemClock{}.now());
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onEnd(Target, Attempt.SentAt, Attempt.FirstByteSeen, Prompt);
+      if (End != AttemptOutcome::CallerGone)
+        Stats.onOutcome(Target, End == AttemptOutcome::Broken,
+                        SystemClock{}.now());
     });
     // Bytes that were not delivered must not reach the target later, when it
     // may have left the registry. Only a reset discards them.
-    if (End != AttemptEnd::Done && Attempt.Connection)
+    if (End != AttemptOutcome::Done && Attempt.Connection)
       Attempt.Connection->abort();
     return this->endAttempt(Ex, Attempt, End);
   }
@@ -151,14 +151,14 @@
   }
 
   /// Sends the request over the open connection and forwards the response.
-  AttemptEnd exchange(RelayExchange &Ex, RelayAttempt &Attempt) {
+  AttemptOutcome exchange(RelayExchange &Ex, RelayAttempt &Attempt) {
     std::string Bytes = serializeRequest(Ex, Attempt);
     ++Ex.Progress.SentCount;
     this->Board.Counters.add(Counter::Attempts);
     if (Attempt.Connection->send(Bytes, Ex.Request.Deadline) != IoStatus::Ok) {
       Attempt.ConnectionLost = true;
       Attempt.Reason = "the connection broke while sending";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     return this->Forwarder.forward(Ex, Attempt);
   }
@@ -185,10 +185,10 @@
     return Out.str() + Request.Body;
   }
 
-  AttemptEnd endAttempt(const RelayExchange &Ex, const RelayAttempt &Attempt,
-                        AttemptEnd End) {
+  AttemptOutcome endAttempt(const RelayExchange &Ex,
+                            const RelayAttempt &Attempt, AttemptOutcome End) {
     Ex.Progress.Reason = Attempt.Reason;
-    if (End != AttemptEnd::Done)
+    if (End != AttemptOutcome::Done)
       this->Log.attemptEnded(Ex, Attempt);
     return End;
   }
--- a/src/entry/relay_log.cpp
+++ b/src/entry/relay_log.cpp
@@ -36,9 +36,9 @@
                              const RequestId &Cause) {
   TimePoint Now = SystemClock{}.now();
   bool NewlySuspected =
-      this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-        bool IsNew = TargetStats.of(Target).SuspectUntil <= Now;
-        TargetStats.suspect(Target, Now, Duration);
+      this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+        bool IsNew = Stats.of(Target).SuspectUntil <= Now;
+        Stats.suspect(Target, Now, Duration);
         return IsNew;
       });
   if (!NewlySuspected)
@@ -63,12 +63,12 @@
 }
 
 void RelayLog::requestDone(const RelayExchange &Ex, const ServingTarget &To,
-                           AttemptEnd End) {
-  this->Board.Counters.add(End == AttemptEnd::Done ? Counter::RequestsDone
-                                                   : Counter::RequestsCut);
+                           AttemptOutcome End) {
+  this->Board.Counters.add(End == AttemptOutcome::Done ? Counter::RequestsDone
+                                                       : Counter::RequestsCut);
   this->Board.Counters.observe(Timer::WholeResponse,
                                SystemClock{}.now() - Ex.Request.ArrivedAt);
-  if (End == AttemptEnd::Done)
+  if (End == AttemptOutcome::Done)
     this->Board.Log.emit(
         EventCode::RequestDone, Ex.Request.Info.Id.Text,
         requestFields(Ex)
--- a/src/entry/relay_policy.cpp
+++ b/src/entry/relay_policy.cpp
@@ -32,9 +32,8 @@
   const EntrySettings &Config = *this->Board.Config.Entry;
   this->Board.RetryLimiters.write([&](RetryLimiterTable &Limits) {
     Limits
-        .try_emplace(Service,
-                     RetryAllowance{Config.RetryRatio, Config.RetrySlack,
-                                    Config.RetryWindow})
+        .try_emplace(Service, RetryLimit{Config.RetryRatio, Config.RetrySlack,
+                                         Config.RetryWindow})
         .first->second.onRequest(SystemClock{}.now());
   });
 }
@@ -44,14 +43,14 @@
   Verdict Current = this->Board.Crashes.read([&](const CrashBlame &Crashes) {
     return Crashes.judge(Request.Content, Now);
   });
-  if (Current != Verdict::Try)
-    return Current == Verdict::Serve;
+  if (Current != Verdict::Trial)
+    return Current == Verdict::Allow;
   if (!this->isTrialNode(Request.Content))
     return false;
   bool TrialTaken = this->Board.Crashes.write([&](CrashBlame &Crashes) {
-    bool StillTry = Crashes.judge(Request.Content, Now) == Verdict::Try;
+    bool StillTry = Crashes.judge(Request.Content, Now) == Verdict::Trial;
     if (StillTry)
-      Crashes.noteTrial(Request.Content, Now);
+      Crashes.recordTrial(Request.Content, Now);
     return StillTry;
   });
   if (TrialTaken)
@@ -75,15 +74,17 @@
 }
 
 void RelayPolicy::recordOutcome(const RelayRequest &Request,
-                                const RelayAttempt &Attempt, AttemptEnd End,
+                                const RelayAttempt &Attempt, AttemptOutcome End,
                                 TimePoint Now) {
-  if (End == AttemptEnd::Broken && Attempt.ConnectionLost)
+  if (End == AttemptOutcome::Broken && Attempt.ConnectionLost)
     this->Board.Crashes.write([&](CrashBlame &Crashes) {
-      Crashes.noteLost(Request.Content, Attempt.To.Target->incarnation(), Now);
+      Crashes.recordLost(Request.Content, Attempt.To.Target->incarnation(),
+                         Now);
+    });
+  else if (End == AttemptOutcome::Done && Attempt.Succeeded)
+    this->Board.Crashes.write([&](CrashBlame &Crashes) {
+      Crashes.recordServed(Request.Content, Now);
     });
-  else if (End == AttemptEnd::Done && Attempt.Succeeded)
-    this->Board.Crashes.write(
-        [&](CrashBlame &Crashes) { Crashes.noteServed(Request.Content, Now); });
 }
 
 std::optional<SelectedTarget> RelayPolicy::choose(const RelayRequest &Request,
@@ -96,21 +97,20 @@
   auto Targets = View->ByService.find(Request.Service);
   if (Targets == View->ByService.end())
     return std::nullopt;
-  bool RegistryOld = Now - ProvenAt > this->Board.Config.Entry->DrainBound;
+  bool RegistryStale = Now - ProvenAt > this->Board.Config.Entry->DrainBound;
   ChoiceQuery Query;
   const ServiceSpec *Spec = Request.Config->service(Request.Service);
   if (Spec && Spec->hasGroups())
     Query.Model = Request.Info.Model;
   Query.Here = this->Board.Config.DataCentre;
-  Query.Anywhere = this->mayLeaveDataCentre(Request, Query.Model);
+  Query.AnyDataCentre = this->mayLeaveDataCentre(Request, Query.Model);
   Query.Avoid = Progress.Tried;
   Query.Now = Now;
-  Query.RegistryOld = RegistryOld;
+  Query.RegistryStale = RegistryStale;
   Query.Random = mixHash(Request.Random, Progress.Tried.size());
   return this->Board.TargetStats.read(
-      [&](const VitalsTable &TargetStats) -> std::optional<SelectedTarget> {
-        const ServingTarget *Best =
-            chooseTarget(Targets->second, TargetStats, Query);
+      [&](const TargetStatsTable &Stats) -> std::optional<SelectedTarget> {
+        const ServingTarget *Best = chooseTarget(Targets->second, Stats, Query);
         if (!Best)
           return std::nullopt;
         return SelectedTarget{
@@ -120,11 +120,13 @@
 
 bool RelayPolicy::mayLeaveDataCentre(const RelayRequest &Request,
                                      const std::string &Model) const {
-  double Stay = this->Board.Balance.read([&](const CentreBalance &Balance) {
-    return Balance.stay({Request.Service, Model});
-  });
+  double LocalFraction =
+      this->Board.Balance.read([&](const CentreBalance &Balance) {
+        return Balance.localFraction({Request.Service, Model});
+      });
   std::uint64_t Random = mixHash(Request.Random, StaySalt) % StayScale;
-  return static_cast<double>(Random) >= Stay * static_cast<double>(StayScale);
+  return static_cast<double>(Random) >=
+         LocalFraction * static_cast<double>(StayScale);
 }
 
 bool RelayPolicy::mayRetry(const RelayRequest &Request,
@@ -144,8 +146,8 @@
     return false;
   std::optional<SelectedTarget> Other = this->choose(Request, After, Now);
   return Other && this->hasRetryLeft(Request.Service, Now) &&
-         this->Board.TargetStats.read([&](const VitalsTable &TargetStats) {
-           return !TargetStats.isSuspect(Other->To.Target->incarnation(), Now);
+         this->Board.TargetStats.read([&](const TargetStatsTable &Stats) {
+           return !Stats.isSuspect(Other->To.Target->incarnation(), Now);
          });
 }
 
--- a/src/entry/relay_policy.h
+++ b/src/entry/relay_policy.h
@@ -29,7 +29,7 @@
   /// Records the outcome of an attempt, so that requests that crash targets
   /// are recognized.
   void recordOutcome(const RelayRequest &Request, const RelayAttempt &Attempt,
-                     AttemptEnd End, TimePoint Now);
+                     AttemptOutcome End, TimePoint Now);
   /// The best target that the request has not been sent to yet.
   std::optional<SelectedTarget> choose(const RelayRequest &Request,
                                        const RelayProgress &Progress,
--- a/src/entry/response_forwarder.h
+++ b/src/entry/response_forwarder.h
@@ -21,14 +21,14 @@
 
   /// Reads the response to an attempt and forwards it to the caller. Returns
   /// how the attempt ends.
-  AttemptEnd forward(RelayExchange &Ex, RelayAttempt &Attempt) {
+  AttemptOutcome forward(RelayExchange &Ex, RelayAttempt &Attempt) {
     std::string &Buffer = Attempt.Connection->buffer();
     for (unsigned Skipped = 0; Skipped <= MaxSkipped;) {
       std::optional<std::size_t> Length = headLength(Buffer);
       if (!Length) {
         if (Buffer.size() > MaxHeadBytes)
           break;
-        if (std::optional<AttemptEnd> End =
+        if (std::optional<AttemptOutcome> End =
                 this->Waiter.waitForBytes(Ex, Attempt))
           return *End;
         continue;
@@ -49,12 +49,13 @@
       // A late response to an earlier request: discard it, ours follows.
       ++Skipped;
       std::string Discarded;
-      if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, *Body, Discarded);
-          End != AttemptEnd::Done)
+      if (AttemptOutcome End =
+              this->Waiter.readBody(Ex, Attempt, *Body, Discarded);
+          End != AttemptOutcome::Done)
         return End;
     }
     Attempt.Reason = "what came is no answer";
-    return AttemptEnd::Broken;
+    return AttemptOutcome::Broken;
   }
 
 private:
@@ -69,32 +70,33 @@
   /// Late responses to earlier requests that are skipped on a connection.
   static constexpr unsigned MaxSkipped = 3;
 
-  AttemptEnd forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
-                             const Poco::Net::HTTPResponse &Head,
-                             const TargetResponseInfo &Info,
-                             BodyDecoder &Body) {
+  AttemptOutcome forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
+                                 const Poco::Net::HTTPResponse &Head,
+                                 const TargetResponseInfo &Info,
+                                 BodyDecoder &Body) {
     int Status = Head.getStatus();
     if (Info.NotRun) {
       std::string Unused;
-      if (this->Waiter.readBody(Ex, Attempt, Body, Unused) == AttemptEnd::Done)
+      if (this->Waiter.readBody(Ex, Attempt, Body, Unused) ==
+          AttemptOutcome::Done)
         this->returnConnection(Ex, Attempt, Head, Info, Body);
       Attempt.Reason = "not taken, status " + std::to_string(Status);
       this->Log.suspectTarget(Attempt.To.Target->incarnation(),
                               Info.WrongTarget ? WrongTargetDuration
                                                : DeclinedDuration,
                               Attempt.Reason, Ex.Request.Info.Id);
-      return AttemptEnd::Refused;
+      return AttemptOutcome::Refused;
     }
     this->recordFirstByte(Ex, Attempt);
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onAnswerHead(Attempt.To.Target->incarnation(),
-                               !Head.getKeepAlive());
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onResponseHead(Attempt.To.Target->incarnation(),
+                           !Head.getKeepAlive());
     });
     bool Success = Status >= 200 && Status < 300;
     Attempt.Succeeded = Success;
     if (Success && (!Info.Signed || Head.has("Content-Encoding"))) {
       Attempt.Reason = "a success that is not the target's own answer";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     if (Success && Ex.Request.Route->Kind == RouteKind::Stream &&
         Head.getContentType().rfind("text/event-stream", 0) == 0)
@@ -102,34 +104,37 @@
     return this->forwardWhole(Ex, Attempt, Head, Info, Body);
   }
 
-  AttemptEnd forwardWhole(RelayExchange &Ex, RelayAttempt &Attempt,
-                          const Poco::Net::HTTPResponse &Head,
-                          const TargetResponseInfo &Info, BodyDecoder &Body) {
+  AttemptOutcome forwardWhole(RelayExchange &Ex, RelayAttempt &Attempt,
+                              const Poco::Net::HTTPResponse &Head,
+                              const TargetResponseInfo &Info,
+                              BodyDecoder &Body) {
     std::string Bytes;
-    if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
-        End != AttemptEnd::Done)
+    if (AttemptOutcome End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
+        End != AttemptOutcome::Done)
       return End;
     this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (Ex.Response.hasStarted()) {
       Attempt.Reason = "status " + std::to_string(Head.getStatus()) +
                        " where a stream was to go on";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     if (Head.getStatus() >= 500 && Ex.Request.Route->mayRepeat()) {
       Attempt.Reason =
           "the target failed, status " + std::to_string(Head.getStatus());
       Ex.Progress.Failure = Head;
       Ex.Progress.FailureBody = std::move(Bytes);
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
-    return Ex.deliver(Head, Bytes) ? AttemptEnd::Done : AttemptEnd::CallerGone;
+    return Ex.deliver(Head, Bytes) ? AttemptOutcome::Done
+                                   : AttemptOutcome::CallerGone;
   }
 
   /// Forwards whole events as they arrive, starting after the last event that
   /// the caller has.
-  AttemptEnd forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
-                           const Poco::Net::HTTPResponse &Head,
-                           const TargetResponseInfo &Info, BodyDecoder &Body) {
+  AttemptOutcome forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
+                               const Poco::Net::HTTPResponse &Head,
+                               const TargetResponseInfo &Info,
+                               BodyDecoder &Body) {
     std::string Payload;
     bool FirstEvent = true;
     while (true) {
@@ -137,25 +142,24 @@
       std::string Ready;
       bool InOrder = extractEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
-        this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-          TargetStats.onProgress(Attempt.To.Target->incarnation(),
-                                 Attempt.LastByte);
+        this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+          Stats.onProgress(Attempt.To.Target->incarnation(), Attempt.LastByte);
         });
       // LastEvent already includes these events, so they are sent even if the
       // next one is out of order.
       if (!forwardEvents(Ex, Head, Ready))
-        return AttemptEnd::CallerGone;
+        return AttemptOutcome::CallerGone;
       if (!InOrder) {
         Attempt.Reason = "an event is out of order";
-        return AttemptEnd::Broken;
+        return AttemptOutcome::Broken;
       }
       if (Body.isDone())
         return this->endStream(Ex, Attempt, Head, Info, Body, Payload);
       if (Body.isMalformed()) {
         Attempt.Reason = "the stream's framing is damaged";
-        return AttemptEnd::Broken;
+        return AttemptOutcome::Broken;
       }
-      if (std::optional<AttemptEnd> End =
+      if (std::optional<AttemptOutcome> End =
               this->Waiter.waitForBody(Ex, Attempt, Body))
         return *End;
     }
@@ -203,20 +207,22 @@
 
   /// Ends the response after the last event. \p Remainder holds the bytes that
   /// are no whole event.
-  AttemptEnd endStream(RelayExchange &Ex, RelayAttempt &Attempt,
-                       const Poco::Net::HTTPResponse &Head,
-                       const TargetResponseInfo &Info, const BodyDecoder &Body,
-                       const std::string &Remainder) {
+  AttemptOutcome endStream(RelayExchange &Ex, RelayAttempt &Attempt,
+                           const Poco::Net::HTTPResponse &Head,
+                           const TargetResponseInfo &Info,
+                           const BodyDecoder &Body,
+                           const std::string &Remainder) {
     if (!Remainder.empty()) {
       Attempt.Reason = "the stream ends within an event";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (!Ex.Response.hasStarted())
-      return Ex.deliver(Head, "") ? AttemptEnd::Done : AttemptEnd::CallerGone;
+      return Ex.deliver(Head, "") ? AttemptOutcome::Done
+                                  : AttemptOutcome::CallerGone;
     return Ex.Response.endStream(Ex.writeUntil()) == IoStatus::Ok
-               ? AttemptEnd::Done
-               : AttemptEnd::CallerGone;
+               ? AttemptOutcome::Done
+               : AttemptOutcome::CallerGone;
   }
 
   /// Returns the connection to the pool if it can carry another request.
@@ -228,9 +234,9 @@
       return;
     const VmIncarnation Target = Attempt.To.Target->incarnation();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
-    unsigned Max = keptConnections(Spec ? Spec->MaxConnections : 1,
-                                   this->Board.perNodeShare(),
-                                   this->Board.Config.Node, Target.Id);
+    unsigned Max = idleConnectionLimit(Spec ? Spec->MaxConnections : 1,
+                                       this->Board.perNodeShare(),
+                                       this->Board.Config.Node, Target.Id);
     this->Pool.put(Target, std::move(*Attempt.Connection),
                    Info.KeepAlive.value_or(Millis(0)), Max,
                    SystemClock{}.now());
@@ -243,10 +249,9 @@
     if (!Ex.Progress.FirstByte)
       Ex.Progress.FirstByte =
           std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt);
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
-                              static_cast<double>(Ex.Request.Info.PromptTokens),
-                              Now);
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
+                        static_cast<double>(Ex.Request.Info.PromptTokens), Now);
     });
     this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.ArrivedAt);
   }
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -32,7 +32,8 @@
   double FirstByteMs = 0;
 };
 
-std::optional<AttemptEnd> receiveBytes(RelayAttempt &Attempt, TimePoint Now) {
+std::optional<AttemptOutcome> receiveBytes(RelayAttempt &Attempt,
+                                           TimePoint Now) {
   IoStatus Status = Attempt.Connection->fillNow();
   if (Status == IoStatus::Ok || Status == IoStatus::Timeout) {
     Attempt.LastByte = Now;
@@ -41,13 +42,13 @@
   Attempt.ConnectionLost = true;
   Attempt.Reason =
       Status == IoStatus::Closed ? ClosedReason : "the connection broke";
-  return AttemptEnd::Broken;
+  return AttemptOutcome::Broken;
 }
 
 } // namespace
 
-std::optional<AttemptEnd> ResponseWait::waitForBytes(RelayExchange &Ex,
-                                                     RelayAttempt &Attempt) {
+std::optional<AttemptOutcome>
+ResponseWait::waitForBytes(RelayExchange &Ex, RelayAttempt &Attempt) {
   TimePoint Until =
       std::min(Ex.Request.Deadline, Attempt.LastByte + FirstCheckDelay);
   while (true) {
@@ -59,49 +60,50 @@
     if (Readable == Side::Caller) {
       if (Ex.Caller.isClosedByPeer()) {
         Attempt.Reason = "the caller left";
-        return AttemptEnd::CallerGone;
+        return AttemptOutcome::CallerGone;
       }
       Attempt.WatchCaller = false;
       continue;
     }
     if (Now >= Ex.Request.Deadline) {
       Attempt.Reason = "the deadline passed";
-      return AttemptEnd::Stalled;
+      return AttemptOutcome::Stalled;
     }
     if (this->isUnresponsive(Ex, Attempt, Now) &&
         this->Policy.mayAbandon(Ex.Request, Ex.Progress, Now)) {
       this->Log.suspectTarget(Attempt.To.Target->incarnation(),
                               UnresponsiveDuration, Attempt.Reason,
                               Ex.Request.Info.Id);
-      return AttemptEnd::Stalled;
+      return AttemptOutcome::Stalled;
     }
     // Check again later: reports of other nodes may show that it is stalled.
     Until = std::min(Ex.Request.Deadline, Now + CheckInterval);
   }
 }
 
-std::optional<AttemptEnd> ResponseWait::waitForBody(RelayExchange &Ex,
-                                                    RelayAttempt &Attempt,
-                                                    BodyDecoder &Body) {
-  std::optional<AttemptEnd> End = this->waitForBytes(Ex, Attempt);
-  if (End != AttemptEnd::Broken || Body.kind() != Framing::UntilClose ||
+std::optional<AttemptOutcome> ResponseWait::waitForBody(RelayExchange &Ex,
+                                                        RelayAttempt &Attempt,
+                                                        BodyDecoder &Body) {
+  std::optional<AttemptOutcome> End = this->waitForBytes(Ex, Attempt);
+  if (End != AttemptOutcome::Broken || Body.kind() != Framing::UntilClose ||
       Attempt.Reason != ClosedReason)
     return End;
   Body.close();
   return std::nullopt;
 }
 
-AttemptEnd ResponseWait::readBody(RelayExchange &Ex, RelayAttempt &Attempt,
-                                  BodyDecoder &Body, std::string &Payload) {
+AttemptOutcome ResponseWait::readBody(RelayExchange &Ex, RelayAttempt &Attempt,
+                                      BodyDecoder &Body, std::string &Payload) {
   while (true) {
     Body.feed(Attempt.Connection->buffer(), Payload);
     if (Body.isDone())
-      return AttemptEnd::Done;
+      return AttemptOutcome::Done;
     if (Body.isMalformed() || Payload.size() > MaxBodyBytes) {
       Attempt.Reason = "the answer's framing is damaged";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
-    if (std::optional<AttemptEnd> End = this->waitForBody(Ex, Attempt, Body))
+    if (std::optional<AttemptOutcome> End =
+            this->waitForBody(Ex, Attempt, Body))
       return *End;
   }
 }
@@ -113,11 +115,11 @@
   const HttpRoute &Route = *Ex.Request.Route;
   const VmIncarnation Target = Attempt.To.Target->incarnation();
   Observation Observed =
-      this->Board.TargetStats.read([&](const VitalsTable &TargetStats) {
+      this->Board.TargetStats.read([&](const TargetStatsTable &Stats) {
         return Observation{
-            TargetStats.standsStill(Target, Now),
+            TargetStats.isStalled(Target, Now),
             TargetStats.silence(Target, Now),
-            TargetStats.hasNews(Now) ? 0 : TargetStats.of(Target).FirstByteMs};
+            TargetStats.hasReports(Now) ? 0 : Stats.of(Target).FirstByteMs};
       });
   Millis Goal = Attempt.FirstByteSeen ? Route.PauseGoal : Route.Goal;
   Millis Patience = std::max(MinPatience, 2 * Goal);
--- a/src/entry/response_wait.h
+++ b/src/entry/response_wait.h
@@ -18,14 +18,14 @@
 
   /// Waits for bytes from the target. Returns how the attempt ends, or nothing
   /// if bytes were received.
-  std::optional<AttemptEnd> waitForBytes(RelayExchange &Ex,
-                                         RelayAttempt &Attempt);
+  std::optional<AttemptOutcome> waitForBytes(RelayExchange &Ex,
+                                             RelayAttempt &Attempt);
   /// The same within a body, which the end of the connection may complete.
-  std::optional<AttemptEnd>
+  std::optional<AttemptOutcome>
   waitForBody(RelayExchange &Ex, RelayAttempt &Attempt, BodyDecoder &Body);
   /// Reads a whole body. Returns Done if it is complete.
-  AttemptEnd readBody(RelayExchange &Ex, RelayAttempt &Attempt,
-                      BodyDecoder &Body, std::string &Payload);
+  AttemptOutcome readBody(RelayExchange &Ex, RelayAttempt &Attempt,
+                          BodyDecoder &Body, std::string &Payload);
 
 private:
   bool isUnresponsive(const RelayExchange &Ex, RelayAttempt &Attempt,
--- a/src/policy/group_load.cpp
+++ b/src/policy/group_load.cpp
@@ -24,7 +24,7 @@
 /// Lower bound of the fraction of requests that the counts cover.
 constexpr double MinRequestFraction = 1e-4;
 /// Fraction of the total prompt tokens that is added to the models by
-/// WorkShare, so that models without requests keep some demand.
+/// LoadFraction, so that models without requests keep some demand.
 constexpr double BaselineFraction = 0.03;
 
 bool statesSpeed(const EngineSpec &Engine) {
@@ -79,8 +79,8 @@
   if (Total.Requests < MinRequests)
     return expectedDemand(Engine);
   double OutputScale =
-      Engine.UsualAnswer > 0 && Total.OutputTokens > 0
-          ? Engine.UsualAnswer * Total.Requests / Total.OutputTokens
+      Engine.TypicalOutputTokens > 0 && Total.OutputTokens > 0
+          ? Engine.TypicalOutputTokens * Total.Requests / Total.OutputTokens
           : 1;
   // Effective window of a sum that decays by DemandDecay each second.
   double WindowSeconds = 1 / (1 - DemandDecay);
@@ -92,7 +92,7 @@
     ModelDemand Demand = At == Counted.end() ? ModelDemand{} : At->second;
     Demand.OutputTokens *= OutputScale;
     Demand.PromptTokens +=
-        BaselineFraction * Model.WorkShare * Total.PromptTokens;
+        BaselineFraction * Model.LoadFraction * Total.PromptTokens;
     Rates[Model.Name] = Demand.scaled(Scale);
   }
   return Rates;
@@ -101,8 +101,8 @@
 DemandTable expectedDemand(const EngineSpec &Engine) {
   DemandTable Demand;
   for (const ModelSpec &Model : Engine.Models) {
-    // WorkShare refers to VMs; convert it to groups.
-    double Share = Model.WorkShare / Model.GroupSize / Model.TimeFactor;
+    // LoadFraction refers to VMs; convert it to groups.
+    double Share = Model.LoadFraction / Model.GroupSize / Model.TimeFactor;
     Demand[Model.Name].PromptTokens = std::max(Share, 1e-3);
   }
   return Demand;
--- /dev/null
+++ b/src/policy/target_stats.h
@@ -0,0 +1,108 @@
+// waycove: serving models that span several VMs.
+// Copyright 2026 the waycove authors. Licensed under the Apache License,
+// Version 2.0; see LICENSE.
+
+#pragma once
+
+#include "policy/load_reports.h"
+
+#include <cstddef>
+#include <functional>
+#include <map>
+#include <optional>
+#include <vector>
+
+namespace waycove {
+
+/// What this node observes of one target.
+struct TargetStats {
+  /// Requests of this node in flight.
+  unsigned InFlight = 0;
+  /// Of these, requests whose response has begun.
+  unsigned Responding = 0;
+  /// Prompt tokens of requests whose response has not begun.
+  double PromptWaiting = 0;
+  /// Send times of the requests whose response has not begun.
+  std::vector<TimePoint> WaitingSince;
+  /// Last time that any byte was received from it.
+  TimePoint LastProgress;
+  /// Receives no new requests until then if another target is available.
+  TimePoint SuspectUntil;
+  /// Smoothed time to the first byte of a response, in milliseconds; 0 if
+  /// unknown.
+  double FirstByteMs = 0;
+  TimePoint FirstByteAt;
+  /// Smoothed fraction of responses that were errors of the target itself.
+  double FailureRate = 0;
+  unsigned Responses = 0;
+  /// Its last response announced the end of the connection: it may be leaving.
+  bool Closing = false;
+
+  /// Returns true if responses are in progress but none made progress within
+  /// StallTimeout.
+  bool isStalled(TimePoint Now) const;
+  /// Returns the send time of the request that has waited longest for its first
+  /// byte.
+  std::optional<TimePoint> oldestWait() const;
+  /// Time since the last byte received, or since the oldest request was sent.
+  Millis silence(TimePoint Now) const;
+};
+
+/// Per-target statistics from the requests of this node and from the latest
+/// reports of other nodes. Reports are needed to tell a stalled target from a
+/// fault of this node alone. Not thread-safe.
+class TargetStatsTable {
+public:
+  void onStart(const VmIncarnation &Target, double PromptTokens, TimePoint Now);
+  /// Records the first byte of the response to the request sent at \p SentAt.
+  void onFirstByte(const VmIncarnation &Target, TimePoint SentAt,
+                   double PromptTokens, TimePoint Now);
+  void onProgress(const VmIncarnation &Target, TimePoint Now);
+  /// Records the end of the request sent at \p SentAt, before its first byte or
+  /// after.
+  void onEnd(const VmIncarnation &Target, TimePoint SentAt, bool FirstByteSeen,
+             double PromptTokens);
+  /// Counts a response of the target as failed or successful.
+  void onOutcome(const VmIncarnation &Target, bool Failed, TimePoint Now);
+  /// Records whether a response of the target closes the connection.
+  void onResponseHead(const VmIncarnation &Target, bool Closes);
+  /// Marks the target as suspect for \p Duration.
+  void suspect(const VmIncarnation &Target, TimePoint Now, Millis Duration);
+  /// Clears suspicion of a target that changed its group.
+  void onRegrouped(const VmIncarnation &Target);
+  const TargetStats &of(const VmIncarnation &Target) const;
+
+  /// The load that this node reports to others.
+  TargetLoads loads(TimePoint Now) const;
+  /// Replaces the summed reports of all other nodes.
+  void setReports(TargetLoads Others, TimePoint Now);
+  /// Returns true if there are current reports of other nodes.
+  bool hasReports(TimePoint Now) const;
+  /// Returns what other nodes report of the target, or null if nothing current
+  /// is known.
+  const TargetLoad *reportedLoad(const VmIncarnation &Target,
+                                 TimePoint Now) const;
+  /// Returns true if responses are in progress and stalled, here and at other
+  /// nodes.
+  bool isStalled(const VmIncarnation &Target, TimePoint Now) const;
+  /// Returns true if the target should receive no new requests while others are
+  /// available: it is stalled, this node suspects it, or another node does and
+  /// no node receives bytes from it. A stalled target must count as suspect
+  /// since requests leave it and it would look idle.
+  bool isSuspect(const VmIncarnation &Target, TimePoint Now) const;
+  /// Time since any byte was received from it, here or at other nodes; zero if
+  /// no request is in flight.
+  Millis silence(const VmIncarnation &Target, TimePoint Now) const;
+  /// Drops targets that are not listed and have no requests in flight.
+  void forget(const std::function<bool(const VmIncarnation &)> &IsListed);
+
+private:
+  static void stopWaiting(TargetStats &Stats, TimePoint SentAt,
+                          double PromptTokens);
+  std::map<VmIncarnation, TargetStats> Targets;
+  /// Summed reports of other nodes, by the hash of the target.
+  TargetLoads Reported;
+  TimePoint ReportedAt;
+};
+
+} // namespace waycove
--- a/src/wire/news_frames.h
+++ b/src/wire/news_frames.h
@@ -7,8 +7,8 @@
 #include "board/feed_cache.h"
 #include "policy/crash_blame.h"
 #include "policy/group_load.h"
-#include "policy/load_news.h"
-#include "policy/share_members.h"
+#include "policy/load_reports.h"
+#include "policy/partition_membership.h"
 #include "wire/wire_generated.h"
 
 #include <absl/status/statusor.h>
@@ -21,15 +21,15 @@
   NodeInfo Node;
   /// Contents blamed for crashes of targets, stored so that they survive a
   /// restart of all nodes.
-  CrashRows Blamed;
+  CrashEvidenceMap Blamed;
 };
 
 std::string packAnnouncement(const Announcement &Entry);
 /// Errors: BadRequest if the bytes are not a valid announcement.
 absl::StatusOr<Announcement> unpackAnnouncement(const std::string &Bytes);
 
-std::vector<wire::LoadRow> packLoads(const LoadRows &Loads);
-LoadRows unpackLoads(const std::vector<wire::LoadRow> &Rows);
+std::vector<wire::LoadRow> packLoads(const TargetLoads &Loads);
+TargetLoads unpackLoads(const std::vector<wire::LoadRow> &Rows);
 
 std::vector<std::unique_ptr<wire::DemandRowT>>
 packDemand(const DemandTable &Demand);
@@ -37,15 +37,15 @@
 unpackDemand(const std::vector<std::unique_ptr<wire::DemandRowT>> &Rows);
 
 std::vector<std::unique_ptr<wire::CrashRowT>>
-packCrashes(const CrashRows &Crashes);
-CrashRows
+packCrashes(const CrashEvidenceMap &Crashes);
+CrashEvidenceMap
 unpackCrashes(const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows);
 
-std::vector<wire::RenewalRow> packRenewals(const ShareRenewals &Renewals,
+std::vector<wire::RenewalRow> packRenewals(const MembershipRenewals &Renewals,
                                            TimePoint Now);
 /// Merges \p Rows, whose ages are relative to \p From, into \p Out.
 void mergeRenewals(const std::vector<wire::RenewalRow> &Rows, TimePoint From,
-                   ShareRenewals &Out);
+                   MembershipRenewals &Out);
 
 wire::FeedMark packMarks(const EraMarks &Marks);
 EraMarks unpackMarks(const wire::FeedMark &Row);
--- a/tests/unit/member_prober_test.cpp
+++ b/tests/unit/member_prober_test.cpp
@@ -115,7 +115,7 @@
   this->Control.Restarted.insert(Head->Id);
   this->Prober.detectLost(this->View);
   REQUIRE(this->View.PresumedDead.empty());
-  this->Board.TargetStats.write([&](VitalsTable &Rows) {
+  this->Board.TargetStats.write([&](TargetStatsTable &Rows) {
     Rows.suspect(Head->incarnation(), at(0), Millis(3000));
   });
   this->Prober.detectLost(this->View);
--- a/tests/unit/share_members_test.cpp
+++ b/tests/unit/partition_membership_test.cpp
@@ -2,20 +2,19 @@
 // Copyright 2026 the waycove authors. Licensed under the Apache License,
 // Version 2.0; see LICENSE.
 
-// Who takes part in the shared work. The load that this answers: every member
-// renews its lease for as long as it lives, whether or not it holds anything,
-// so that renewals grow with the nodes and not with the work.
-#include "policy/share_members.h"
+// Membership of the nodes that partitions are assigned to. Guards against
+// renewals that grow with the number of nodes.
+#include "policy/partition_membership.h"
 #include "support/times.h"
 
 #include <catch2/catch.hpp>
 
 namespace waycove::test {
 
-/// A data centre of nodes that all know each other, and hear of renewals
-/// after the time that news takes over four hops.
-struct ShareMembersFixture {
-  explicit ShareMembersFixture(int Count = 59) {
+/// Nodes of a data centre that all know each other and learn of renewals with a
+/// delay.
+struct PartitionMembershipFixture {
+  explicit PartitionMembershipFixture(int Count = 59) {
     NodeTable Nodes;
     for (int I = 0; I < Count; ++I) {
       NodeInfo Row;
@@ -23,12 +22,12 @@
       Row.DataCentre = DataCentreId("a");
       Nodes[Row.Node] = Row;
     }
-    this->Order = readersOf(Nodes, DataCentreId("a"));
+    this->Order = readerOrder(Nodes, DataCentreId("a"));
     for (const NodeInfo &Row : this->Order)
       this->Rows[Row.Node];
   }
 
-  /// Lets \p Ms go by; members renew every 0.5 s, and each node decides then.
+  /// Advances by \p Ms; members renew every 0.5 s, and each node decides then.
   void run(int Ms) {
     for (int End = this->NowMs + Ms; this->NowMs < End; this->NowMs += Step)
       for (auto &[Id, Row] : this->Rows)
@@ -51,11 +50,11 @@
   }
 
   static constexpr int Step = 500;
-  static constexpr int NewsMs = 1000;
+  static constexpr int DelayMs = 1000;
   static constexpr std::size_t Wanted = 6;
 
   struct Node {
-    ShareMembership Decision;
+    PartitionMembership Decision;
     bool Member = false;
     bool Dead = false;
   };
@@ -63,17 +62,17 @@
   std::map<NodeId, Node> Rows;
   std::map<NodeId, std::vector<int>> RenewedMs;
   int NowMs = 0;
-  bool HoldsParts = false;
+  bool HoldsPartitions = false;
 
 private:
   void decide(const NodeId &Id, Node &Row) {
-    ShareRenewals Known;
+    MembershipRenewals Known;
     for (const auto &[Other, Times] : this->RenewedMs)
       for (int Ms : Times)
-        if (Ms + NewsMs <= this->NowMs || Other == Id)
-          Known.note(memberHash(Other), at(Ms));
-    Row.Member = Row.Decision.decide(
-        {this->Order, Id, Known, Wanted, this->HoldsParts, at(this->NowMs)});
+        if (Ms + DelayMs <= this->NowMs || Other == Id)
+          Known.record(memberHash(Other), at(Ms));
+    Row.Member = Row.Decision.decide({this->Order, Id, Known, Wanted,
+                                      this->HoldsPartitions, at(this->NowMs)});
     if (Row.Member)
       this->RenewedMs[Id].push_back(this->NowMs);
   }
@@ -81,13 +80,13 @@
 
 TEST_CASE("share members: parts by data centre: one each and a spare",
           "[unit]") {
-  CHECK(membersWanted(24, 5) == 6);
-  CHECK(membersWanted(12, 3) == 5);
-  CHECK(membersWanted(12, 1) == 13);
-  CHECK(membersWanted(12, 0) == 13);
+  CHECK(requiredMembers(24, 5) == 6);
+  CHECK(requiredMembers(12, 3) == 5);
+  CHECK(requiredMembers(12, 1) == 13);
+  CHECK(requiredMembers(12, 0) == 13);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: many nodes start: as many as are wanted",
                  "[unit]") {
   this->run(500);
@@ -99,12 +98,12 @@
 }
 
 TEST_CASE("share members: fewer nodes than are wanted: all of them", "[unit]") {
-  ShareMembersFixture Few(3);
+  PartitionMembershipFixture Few(3);
   Few.run(500);
   CHECK(Few.members() == 3);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: some members die: the next nodes step in",
                  "[unit]") {
   this->run(5000);
@@ -114,7 +113,7 @@
   CHECK(this->members() <= Wanted + 4);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: all members die: others step in, not all",
                  "[unit]") {
   this->run(5000);
@@ -124,7 +123,7 @@
   CHECK(this->members() <= 2 * Wanted);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: the first nodes are back: those that hold "
                  "nothing go",
                  "[unit]") {
@@ -136,25 +135,25 @@
   CHECK(this->members() == Wanted);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: a member holds parts: it stays", "[unit]") {
   this->run(5000);
   this->kill(0, 4);
   this->run(8000);
   std::size_t Before = this->members();
-  this->HoldsParts = true;
+  this->HoldsPartitions = true;
   this->restart(0, 4);
   this->run(20000);
   CHECK(this->members() == Before);
 }
 
-TEST_CASE_METHOD(ShareMembersFixture,
+TEST_CASE_METHOD(PartitionMembershipFixture,
                  "share members: the directory does not list this node: it "
                  "takes part in the end",
                  "[unit]") {
-  ShareMembership Unlisted;
+  PartitionMembership Unlisted;
   NodeId Me("unlisted");
-  ShareRenewals None;
+  MembershipRenewals None;
   CHECK_FALSE(Unlisted.decide({this->Order, Me, None, Wanted, false, at(0)}));
   CHECK(Unlisted.decide({this->Order, Me, None, Wanted, false, at(5000)}));
 }
--- a/tools/without.py
+++ b/tools/without.py
@@ -46,11 +46,11 @@
         "suspended machine"),
     "blame": (
         "src/entry/relay_policy.cpp",
-        "return Current == Verdict::Serve;", "return true;",
+        "return Current == Verdict::Allow;", "return true;",
         "crashing request"),
     "blame-explains": (
         "src/policy/crash_blame.cpp",
-        "Explained.insert(Ends.begin(), Ends.end());", "",
+        "Explained.insert(CrashedTargets.begin(), CrashedTargets.end());", "",
         "crash blame: others ran beside"),
     "blame-served": (
         "src/policy/crash_blame.cpp",
@@ -61,12 +61,12 @@
         "this->applyBlamed(Read->Blamed);", "",
         "directory: an announcement blames"),
     "shared-sight": (
-        "src/policy/vitals.cpp",
-        "if (!There || There->Answering == 0)", "if (true)",
+        "src/policy/target_stats.cpp",
+        "if (!There || There->Responding == 0)", "if (true)",
         "vitals: a target stands still elsewhere"),
     "resting-part": (
         "src/policy/connections.cpp",
-        "RestingPart * MostOfAll * EvenShare", "1.0 * MostOfAll",
+        "IdleFraction * TotalLimit * EvenShare", "1.0 * TotalLimit",
         "connections: many nodes"),
     "unreached-out": (
         "src/control/member_prober.h",
@@ -86,8 +86,9 @@
         "Max - Begun", "1000.0",
         "load budget"),
     "doubts-shared": (
-        "src/policy/vitals.cpp",
-        "return There && Now - this->ToldAt", "return false && Now - this->ToldAt",
+        "src/policy/target_stats.cpp",
+        "return There && Now - this->ReportedAt",
+        "return false && Now - this->ReportedAt",
         "vitals: another node left"),
     "load-queue": (
         "src/policy/load_schedule.cpp",
@@ -143,11 +144,11 @@
         "store reader: its call hangs and|leaving target: a node|neighbours: alone"),
     "kept-last": (
         "src/policy/choice.cpp",
-        "return Row.Retained ||", "return",
+        "return Candidate.Retained ||", "return",
         "choice: an entry is missing|leaving target: the reader alone"),
     "own-word": (
         "src/policy/choice.cpp",
-        "Query.RegistryOld &&", "false &&",
+        "Query.RegistryStale &&", "false &&",
         "choice: the registry is old|leaving target: no node"),
     "news-from-peers": (
         "src/control/news.cpp",
@@ -155,7 +156,7 @@
         "leaving target: the reader loses"),
     "given-up-reset": (
         "src/entry/relay.h",
-        "if (End != AttemptEnd::Done && Attempt.Connection)", "if (false)",
+        "if (End != AttemptOutcome::Done && Attempt.Connection)", "if (false)",
         "leaving target: a send"),
     "stale-proves-nothing": (
         "src/board/feed_cache.cpp",
@@ -231,9 +232,9 @@
         "Reply.RequestId != Call.Request.Text", "false",
         "not run: said only"),
     "once-table": (
-        "src/policy/once.cpp",
-        "return Fresh;\n}\n\nvoid OnceTable::abandon",
-        "return true;\n}\n\nvoid OnceTable::abandon",
+        "src/policy/idempotency.cpp",
+        "return Inserted;\n}\n\nvoid IdempotencyTable::abandon",
+        "return true;\n}\n\nvoid IdempotencyTable::abandon",
         "once: key sent|once: any order"),
     "claims-first-wins": (
         "src/policy/fold.cpp",
@@ -281,18 +282,18 @@
         "if (Page->First > From || ", "if (false && ",
         "config: the log forgot"),
     "few-members": (
-        "src/policy/share_members.cpp",
-        "if (Row.OthersBefore < Lacking)\n    return true;", "return true;",
+        "src/policy/partition_membership.cpp",
+        "if (Result.OthersBefore < Missing)\n    return true;", "return true;",
         "share members:"),
     "next-before": (
-        "src/policy/news_route.cpp",
+        "src/policy/upstream_selector.cpp",
         "for (std::size_t I = 0; I < Place; ++I)",
         "for (std::size_t I = 0; I < 0; ++I)",
         "news route:"),
     "probe-pace": (
-        "src/policy/news_route.cpp",
-        "return {Most == FewNodesPause ? LeastPause : Most / 2, Most};",
-        "return {LeastPause, FewNodesPause};",
+        "src/policy/upstream_selector.cpp",
+        "return {Max == SmallSiteInterval ? MinInterval : Max / 2, Max};",
+        "return {MinInterval, SmallSiteInterval};",
         "news route:"),
     "told-at-start": (
         "src/control/news.cpp",
@@ -305,7 +306,7 @@
         "feed cache: a whole page repeats"),
     "unknown-usual": (
         "src/policy/choice.cpp",
-        "double Known = Usual;", "double Known = 0;",
+        "double Expected = ModelMean;", "double Expected = 0;",
         "choice of many nodes"),
     "loads-shown": (
         "src/policy/load_schedule.cpp",
