--- a/src/board/board.h
+++ b/src/board/board.h
@@ -34,8 +34,9 @@
   ViewRef find(const ObjectKey &Key) const;
 };
 
-/// The blackboard: all shared tables of a daemon. Controllers and the edge
-/// communicate only through it. See table.h for the lock order.
+/// The blackboard of the daemon with waycove's own interface: all its shared
+/// tables. Controllers and the edge communicate only through it. An entry on
+/// the platform has EntryBoard instead. See table.h for the lock order.
 class Board {
 public:
   Board(const Settings &Config, const IncarnationId &Incarnation);
--- a/src/board/entry_board.h
+++ b/src/board/entry_board.h
@@ -37,7 +37,8 @@
   LatestTime OwnProvenAt;
 };
 
-/// The blackboard of a daemon that serves as an entry on the platform:
+/// The blackboard of a daemon that serves as an entry on the platform, i.e. has
+/// settings with an `entry` section (the other mode of the daemon has Board):
 /// controllers write it and requests read it. See table.h for the lock order.
 struct EntryBoard {
   EntryBoard(const Settings &Config, IncarnationId Incarnation)
--- a/src/control/claim_binder.h
+++ b/src/control/claim_binder.h
@@ -79,7 +79,7 @@
       absl::StatusOr<FoldOutcome> Outcome =
           this->Submit.submit(std::move(Body), Until);
       if (this->Tables.Restoring || this->logEra() != Began) {
-        this->abandon(Claims);
+        this->markUndispatchable(Claims);
         Outcome = makeError(ErrorKind::LogUnavailable,
                             "the log came back from an older copy");
       }
@@ -95,7 +95,7 @@
 
   /// Marks the keys so that this daemon does not dispatch them even if the log
   /// names it as their dispatcher.
-  void abandon(const Batch &Claims) {
+  void markUndispatchable(const Batch &Claims) {
     this->Tables.Idempotency.write([&](OnceTable &Known) {
       for (const auto &Claim : Claims)
         Known.giveUp(Claim->Id, Claim->Issued);
--- a/src/control/engine_control.h
+++ b/src/control/engine_control.h
@@ -28,10 +28,12 @@
   bool Loaded = false;
   bool Leaving = false;
   std::uint64_t Running = 0;
+  /// Number of requests that wait at the VM.
   double Queue = 0;
 };
 
-/// Interface of the group controller to the model engines on VMs.
+/// Interface of the group controller to the model engines on VMs, in the daemon
+/// with waycove's own interface; an entry on the platform uses GroupControl.
 template <typename T>
 concept EngineControl = requires(T &E, const EngineOrder &Order,
                                  const VmAddress &At) {
--- a/src/control/group_controller.h
+++ b/src/control/group_controller.h
@@ -28,7 +28,8 @@
 /// fence, polls the members, and publishes which groups are ready. Slots are
 /// assigned by rendezvous hashing over the live daemons of the data centre. Two
 /// daemons may both control a slot for a while; the log then accepts only one
-/// of their proposals.
+/// of their proposals. Used by the daemon with waycove's own interface; an
+/// entry on the platform has DomainOwner instead.
 template <EngineControl Engine, LogService Service> class GroupController {
 public:
   GroupController(Board &Tables, Submitter<Service> &Submit, Engine &Targets)
