--- a/src/bench/traffic.cpp
+++ b/src/bench/traffic.cpp
@@ -301,9 +301,10 @@
         break;
       bool Retry = Attempts < 4;
       if (Budgeted)
-        Retry = decideRetry({AttemptEnd::Broken, true, Attempts, false, false},
-                            Budget)
-                    .Choice == RetryChoice::Again;
+        Retry =
+            decideRetry({AttemptOutcome::Broken, true, Attempts, false, false},
+                        Budget)
+                .Choice == RetryChoice::Retry;
       if (Retry)
         continue;
       Result.FailedShare += 1.0 / RetryRequests;
--- a/src/control/claim_binder.h
+++ b/src/control/claim_binder.h
@@ -96,9 +96,9 @@
   /// Marks the keys so that this daemon does not dispatch them even if the log
   /// names it as their dispatcher.
   void markUndispatchable(const Batch &Claims) {
-    this->Tables.Idempotency.write([&](OnceTable &Known) {
+    this->Tables.Idempotency.write([&](IdempotencyTable &Known) {
       for (const auto &Claim : Claims)
-        Known.giveUp(Claim->Id, Claim->Issued);
+        Known.markUnknown(Claim->Id, Claim->Issued);
     });
   }
 
--- a/src/control/domain_owner.h
+++ b/src/control/domain_owner.h
@@ -56,8 +56,8 @@
       this->Board.Log.emit(EventCode::LogReachable, "ownership");
     this->RetryBackoff.reset();
     this->Joined = true;
-    this->Board.Renewals.write([&](ShareRenewals &Rows) {
-      Rows.note(memberHash(this->Board.Config.Node), SentAt);
+    this->Board.Renewals.write([&](MembershipRenewals &Rows) {
+      Rows.record(memberHash(this->Board.Config.Node), SentAt);
     });
     this->OwnLease.renew(SentAt, Duration - LeaseMargin);
     this->updateAssignment(*Assignment, Duration);
@@ -126,13 +126,13 @@
     NodeTable Nodes =
         this->Board.Nodes.read([](const NodeTable &Rows) { return Rows; });
     this->Listed = Nodes.contains(Config.Node);
-    std::vector<NodeInfo> Order = readersOf(Nodes, Config.DataCentre);
-    std::size_t MembersNeeded =
-        membersWanted(Config.Entry->PartitionCount, centresOf(Nodes).size());
+    std::vector<NodeInfo> Order = readerOrder(Nodes, Config.DataCentre);
+    std::size_t MembersNeeded = requiredMembers(Config.Entry->PartitionCount,
+                                                dataCentreOrder(Nodes).size());
     bool Holds = this->Assigned.read(
         [](const PartitionAssignment &Row) { return !Row.Partitions.empty(); });
-    ShareRenewals Known = this->Board.Renewals.read(
-        [](const ShareRenewals &Rows) { return Rows; });
+    MembershipRenewals Known = this->Board.Renewals.read(
+        [](const MembershipRenewals &Rows) { return Rows; });
     return this->Membership.decide(
         {Order, Config.Node, Known, MembersNeeded, Holds, Now});
   }
@@ -311,7 +311,7 @@
   EntryBoard &Board;
   Service &Partitioner;
   const TimePoint StartTime = SystemClock{}.now();
-  ShareMembership Membership;
+  PartitionMembership Membership;
   bool Listed = false;
   Lease OwnLease;
   Table<PartitionAssignment, LockRank::Peers> Assigned;
--- a/src/control/member_prober.h
+++ b/src/control/member_prober.h
@@ -63,7 +63,7 @@
       if (Target->Group->Rank != 0 || Target->Group->State != MemberState::Open)
         continue;
       auto [HeadIdle, Suspect] =
-          this->Board.TargetStats.read([&](const VitalsTable &Rows) {
+          this->Board.TargetStats.read([&](const TargetStatsTable &Rows) {
             VmIncarnation Incarnation = Target->incarnation();
             return std::pair(Rows.silence(Incarnation, View.Now),
                              Rows.isSuspect(Incarnation, View.Now));
--- a/src/control/node_follower.h
+++ b/src/control/node_follower.h
@@ -66,21 +66,21 @@
     if (!this->Board.FirstInCentre ||
         SystemClock{}.now() - this->AnnouncedAt < BlameInterval)
       return false;
-    CrashRows Blamed = this->currentBlame();
+    CrashEvidenceMap Blamed = this->currentBlame();
     return !std::equal(
         Blamed.begin(), Blamed.end(), this->AnnouncedBlamed.begin(),
         this->AnnouncedBlamed.end(),
         [](const auto &A, const auto &B) { return A.first == B.first; });
   }
 
-  CrashRows currentBlame() const {
+  CrashEvidenceMap currentBlame() const {
     return this->Board.Crashes.read(
-        [](const CrashBlame &Rows) { return Rows.lasting(); });
+        [](const CrashBlame &Rows) { return Rows.blamedRows(); });
   }
 
   bool announce() {
     NodeInfo Me = this->Board.nodeInfo();
-    CrashRows Blamed = this->currentBlame();
+    CrashEvidenceMap Blamed = this->currentBlame();
     this->AnnouncedAt = SystemClock{}.now();
     this->Board.Counters.Calls.add(StoreUse::Announcement,
                                    this->IsReachable ? CallCause::Start
@@ -144,10 +144,10 @@
     this->store(Present, Removed);
   }
 
-  void applyBlamed(const CrashRows &Blamed) {
+  void applyBlamed(const CrashEvidenceMap &Blamed) {
     if (!Blamed.empty())
       this->Board.Crashes.write(
-          [&](CrashBlame &Rows) { Rows.take(Blamed, SystemClock{}.now()); });
+          [&](CrashBlame &Rows) { Rows.merge(Blamed, SystemClock{}.now()); });
   }
 
   std::set<NodeId> listed() const {
@@ -167,7 +167,7 @@
       this->Listed = false;
     // An earlier incarnation announced the same address.
     for (const NodeInfo &Row : Present)
-      if (Row.samePlace(this->Board.nodeInfo()))
+      if (Row.sameAddress(this->Board.nodeInfo()))
         this->Listed = true;
   }
 
@@ -208,7 +208,7 @@
   StoreEra SettledEra;
   TimePoint AnnouncedAt;
   /// Blamed requests in this node's announcement.
-  CrashRows AnnouncedBlamed;
+  CrashEvidenceMap AnnouncedBlamed;
 };
 
 } // namespace waycove
--- a/src/control/shared_observations.h
+++ b/src/control/shared_observations.h
@@ -34,11 +34,11 @@
   void publish(TimePoint Now);
 
 private:
-  LoadRows ownLoads(TimePoint Now) const;
+  TargetLoads ownLoads(TimePoint Now) const;
   DemandTable ownDemand() const;
   std::vector<wire::RenewalRow> renewals(TimePoint Now) const;
   /// Requests that crash targets: all known ones, or the recent ones alone.
-  CrashRows crashes(bool All, TimePoint Now) const;
+  CrashEvidenceMap crashes(bool All, TimePoint Now) const;
   void applyCrashes(const std::vector<std::unique_ptr<wire::CrashRowT>> &Rows,
                     TimePoint Now);
   void updateBlame(TimePoint Now);
@@ -46,8 +46,8 @@
 
   EntryBoard &Board;
   mutable std::mutex Mutex;
-  LoadBook Loads;
-  ReportBook<DemandTable> Demand;
+  TargetLoadReports Loads;
+  ReportAggregator<DemandTable> Demand;
   /// When the last request was sent to each upstream node that responded with
   /// its crashes.
   std::map<NodeId, TimePoint> CrashesReceivedAt;
--- a/src/edge/request.h
+++ b/src/edge/request.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "net/http.h"
+#include "policy/idempotency.h"
 #include "policy/objects.h"
-#include "policy/once.h"
 #include "wire/wire_generated.h"
 
 #include <concepts>
@@ -93,7 +93,7 @@
   /// Whether the request ran; unknown where the response is incomplete.
   Ran ran() const;
 
-  StoredAnswer Answer;
+  StoredResponse Answer;
   Millis RetryAfter{0};
   bool Whole = false;
   bool WasCut = false;
--- a/src/edge/serve.h
+++ b/src/edge/serve.h
@@ -164,9 +164,9 @@
   /// The daemon that may dispatch the key: its minter, or the one whose claim
   /// is first in the log.
   absl::StatusOr<IncarnationId> dispatcherOf(const CallerRequest &Request,
-                                             const KeyParts &Parts) {
-    if (!Parts.Minter.empty())
-      return Parts.Minter;
+                                             const IdempotencyKeyParts &Parts) {
+    if (!Parts.Issuer.empty())
+      return Parts.Issuer;
     ClaimId Id{Request.Workspace, Request.Key};
     IncarnationId Known = this->Tables.State.read([&](const FoldState &State) {
       const Claim *Row = State.claim(Id);
@@ -178,7 +178,7 @@
   }
 
   /// Refuses tickets that are older than the minter's record of their use.
-  absl::Status checkTicket(const KeyParts &Parts) const {
+  absl::Status checkTicket(const IdempotencyKeyParts &Parts) const {
     auto Now = SystemClock{}.wall().Value;
     auto Window = static_cast<std::uint64_t>(KeyWindow.count());
     if (Parts.Issued.Value + Window <= Now)
@@ -191,10 +191,10 @@
   absl::Status serveOnce(const CallerRequest &Request, const RoutePlan &Plan,
                          SinkT &Sink) {
     // 1. Validate the key.
-    absl::StatusOr<KeyParts> Parts = parseKey(Request.Key);
+    absl::StatusOr<IdempotencyKeyParts> Parts = parseKey(Request.Key);
     if (!Parts.ok())
       return refuse(Sink, Parts.status());
-    if (!Parts->Minter.empty())
+    if (!Parts->Issuer.empty())
       if (absl::Status Age = this->checkTicket(*Parts); !Age.ok())
         return refuse(Sink, Age);
     // 2. Find its dispatcher.
@@ -246,27 +246,29 @@
   /// sends the response of that one.
   template <ResponseSink SinkT>
   absl::Status runOnce(const CallerRequest &Request, const RoutePlan &Plan,
-                       const KeyParts &Parts, SinkT &Sink) {
+                       const IdempotencyKeyParts &Parts, SinkT &Sink) {
     ClaimId Id{Request.Workspace, Request.Key};
     std::uint64_t Fingerprint = fingerprintOf(Request);
     // 1. The first request with the key is dispatched; others wait for its
     // response.
-    while (!this->Tables.Idempotency.write([&](OnceTable &Rows) {
+    while (!this->Tables.Idempotency.write([&](IdempotencyTable &Rows) {
       return Rows.begin(Id, Fingerprint, Parts.Issued);
     })) {
-      OnceLook Look = this->Tables.Idempotency.read(
-          [&](const OnceTable &Rows) { return Rows.look(Id, Fingerprint); });
-      if (Look.State == OnceState::Absent)
+      IdempotencyLookup Look =
+          this->Tables.Idempotency.read([&](const IdempotencyTable &Rows) {
+            return Rows.find(Id, Fingerprint);
+          });
+      if (Look.State == IdempotencyState::Absent)
         continue;
       if (Look.Differs)
         return refuse(Sink, makeError(ErrorKind::KeyReused,
                                       "this key belongs to another request"));
-      if (Look.State == OnceState::Unknown)
+      if (Look.State == IdempotencyState::Unknown)
         return refuse(Sink, makeError(ErrorKind::OutcomeUnknown,
                                       "its outcome is not known"));
-      if (Look.State == OnceState::Done) {
-        sendWhole(Sink, Look.Answer->HttpStatus, Look.Answer->ContentType,
-                  Look.Answer->Body);
+      if (Look.State == IdempotencyState::Done) {
+        sendWhole(Sink, Look.Response->HttpStatus, Look.Response->ContentType,
+                  Look.Response->Body);
         return absl::OkStatus();
       }
       if (SystemClock{}.now() >= Request.Deadline)
@@ -280,7 +282,7 @@
     CallerRequest Run = Request;
     Run.Stream = false;
     absl::Status Result = this->serveOrForward(Run, Plan, Buffered);
-    this->Tables.Idempotency.write([&](OnceTable &Rows) {
+    this->Tables.Idempotency.write([&](IdempotencyTable &Rows) {
       if (Buffered.ran() == Ran::No)
         Rows.abandon(Id);
       else if (Buffered.ran() == Ran::Yes)
--- a/src/edge/serve_plain.h
+++ b/src/edge/serve_plain.h
@@ -34,7 +34,7 @@
       const RouteTarget *Target =
           this->TargetAttempts.choose(Plan, Request, History, 0);
       HttpReply Reply;
-      AttemptEnd End = AttemptEnd::NotSent;
+      AttemptOutcome End = AttemptOutcome::NotSent;
       if (Target)
         End = this->callOnce(Request, Plan, *Target, History, Reply);
       else
@@ -44,7 +44,7 @@
         sendWhole(Sink, Reply.Status, Reply.ContentType, Reply.Body);
         return absl::OkStatus();
       }
-      if (Next.Choice == RetryChoice::GiveUp || !Target)
+      if (Next.Choice == RetryChoice::Fail || !Target)
         return refuse(Sink,
                       makeError(Next.Kind, History.Reason, DefaultRetryAfter));
       this->TargetAttempts.recordRetry(Request, *Target, false, History);
@@ -53,9 +53,9 @@
 
 private:
   /// Runs one attempt at one target and records its outcome.
-  AttemptEnd callOnce(const CallerRequest &Request, const RoutePlan &Plan,
-                      const RouteTarget &Target, AttemptHistory &History,
-                      HttpReply &Reply) {
+  AttemptOutcome callOnce(const CallerRequest &Request, const RoutePlan &Plan,
+                          const RouteTarget &Target, AttemptHistory &History,
+                          HttpReply &Reply) {
     ++History.Attempts;
     this->Tables.Counters.add(Counter::Attempts);
     PlainCall Call;
@@ -71,7 +71,7 @@
     Call.Timeout =
         std::max(Millis(1), std::chrono::duration_cast<Millis>(
                                 Request.Deadline - SystemClock{}.now()));
-    AttemptEnd End = this->Services.call(Call, Reply);
+    AttemptOutcome End = this->Services.call(Call, Reply);
     History.Reason = "the target broke off or did not answer";
     if (Reply.Leaving)
       this->TargetAttempts.recordLeaving(Target);
--- a/src/edge/target.cpp
+++ b/src/edge/target.cpp
@@ -54,24 +54,24 @@
 
 /// Reads a response line by line, calling \p OnToken for each token, until its
 /// last line, a failure or the deadline.
-AttemptEnd readResponse(std::istream &In, const EngineCall &Call,
-                        const TokenHandler &OnToken, EngineDone &Done) {
+AttemptOutcome readResponse(std::istream &In, const EngineCall &Call,
+                            const TokenHandler &OnToken, EngineDone &Done) {
   std::string Line;
   unsigned ForeignLines = 0;
   while (readLine(In, Line)) {
     absl::StatusOr<JsonObject> Fields = parseJson(Line);
     if (!Fields.ok())
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     // Skip late lines of other requests.
     if (textAt(*Fields, "request") != Call.Request.Text) {
       if (++ForeignLines > MaxForeignLines)
-        return AttemptEnd::Broken;
+        return AttemptOutcome::Broken;
       continue;
     }
     if (flagAt(*Fields, "done", false)) {
       Done.Tokens = numberAt(*Fields, "tokens");
       Done.Queue = static_cast<double>(numberAt(*Fields, "queue"));
-      return AttemptEnd::Done;
+      return AttemptOutcome::Done;
     }
     EngineToken Token{Call.Request, numberAt(*Fields, "index", UINT64_MAX),
                       textAt(*Fields, "text"),
@@ -82,21 +82,22 @@
     case TokenVerdict::Ignore:
       break;
     case TokenVerdict::CallerGone:
-      return AttemptEnd::CallerGone;
+      return AttemptOutcome::CallerGone;
     case TokenVerdict::Reject:
       Done.Reason = "the answer is not of this group, whole and in order";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     if (BootClock::now() >= Call.Deadline)
-      return AttemptEnd::Stalled;
+      return AttemptOutcome::Stalled;
   }
-  return AttemptEnd::Broken;
+  return AttemptOutcome::Broken;
 }
 
 } // namespace
 
-AttemptEnd HttpEngine::generate(const EngineCall &Call,
-                                const TokenHandler &OnToken, EngineDone &Done) {
+AttemptOutcome HttpEngine::generate(const EngineCall &Call,
+                                    const TokenHandler &OnToken,
+                                    EngineDone &Done) {
   bool Sent = false;
   try {
     WholeBodySession Session(Call.Address.Host, Call.Address.Port);
@@ -121,23 +122,23 @@
     if (Response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
       Done.Reason = "status " + std::to_string(Response.getStatus());
       return Response.get("X-Waycove-Not-Run", "") == "yes"
-                 ? AttemptEnd::Refused
-                 : AttemptEnd::Broken;
+                 ? AttemptOutcome::Refused
+                 : AttemptOutcome::Broken;
     }
-    AttemptEnd End = readResponse(In, Call, OnToken, Done);
+    AttemptOutcome End = readResponse(In, Call, OnToken, Done);
     // The stream reports only its end; the session has the cause.
     bool TimedOut = dynamic_cast<const Poco::TimeoutException *>(
                         Session.networkException()) != nullptr;
-    if (End != AttemptEnd::Broken || !TimedOut)
+    if (End != AttemptOutcome::Broken || !TimedOut)
       return End;
     Done.Reason = "no token in time";
-    return AttemptEnd::Stalled;
+    return AttemptOutcome::Stalled;
   } catch (const Poco::TimeoutException &Error) {
     Done.Reason = Error.displayText();
-    return Sent ? AttemptEnd::Stalled : AttemptEnd::NotSent;
+    return Sent ? AttemptOutcome::Stalled : AttemptOutcome::NotSent;
   } catch (const Poco::Exception &Error) {
     Done.Reason = Error.displayText();
-    return Sent ? AttemptEnd::Broken : AttemptEnd::NotSent;
+    return Sent ? AttemptOutcome::Broken : AttemptOutcome::NotSent;
   }
 }
 
@@ -204,7 +205,7 @@
   return Report;
 }
 
-AttemptEnd HttpPlainService::call(const PlainCall &Call, HttpReply &Reply) {
+AttemptOutcome HttpPlainService::call(const PlainCall &Call, HttpReply &Reply) {
   HttpClient Client({Call.Address.Host, Call.Address.Port},
                     this->Config.ConnectTimeout, this->Counters, TargetBytes);
   HttpCall Http = Call.Http;
@@ -212,15 +213,15 @@
   absl::StatusOr<HttpReply> Received = Client.call(Http, Call.Timeout);
   if (!Received.ok())
     return kindOf(Received.status()) == ErrorKind::NoCapacity
-               ? AttemptEnd::NotSent
-               : AttemptEnd::Broken;
+               ? AttemptOutcome::NotSent
+               : AttemptOutcome::Broken;
   Reply = *Received;
   if (Reply.NotRun)
-    return AttemptEnd::Refused;
+    return AttemptOutcome::Refused;
   // Discard a response to another request.
   if (!Reply.RequestId.empty() && Reply.RequestId != Call.Request.Text)
-    return AttemptEnd::Broken;
-  return AttemptEnd::Done;
+    return AttemptOutcome::Broken;
+  return AttemptOutcome::Done;
 }
 
 } // namespace waycove
--- a/src/entry/response_forwarder.h
+++ b/src/entry/response_forwarder.h
@@ -10,25 +10,25 @@
 
 namespace waycove {
 
-/// Reads targets' answers and passes them on to callers: whole ones at once,
-/// streams event by event. What is not certainly the target's own, whole and
-/// in order is not passed on. Thread-safe.
+/// Reads targets' responses and forwards them to callers, streams event by
+/// event and other responses whole. Only forwards what provably comes from the
+/// target and is complete and in order. Thread-safe.
 template <CallerProtocol Protocol> class ResponseForwarder {
 public:
   ResponseForwarder(EntryBoard &Board, TargetConnectionPool &Pool,
                     ResponseWait &Waiter, RelayLog &Log)
       : Board(Board), Pool(Pool), Waiter(Waiter), Log(Log) {}
 
-  /// Reads the answer to the attempt's send and gives it to the caller; how the
-  /// attempt ends.
-  AttemptEnd read(RelayExchange &Ex, RelayAttempt &Attempt) {
+  /// Reads the response to an attempt and forwards it to the caller. Returns
+  /// how the attempt ends.
+  AttemptOutcome forward(RelayExchange &Ex, RelayAttempt &Attempt) {
     std::string &Buffer = Attempt.Connection->buffer();
-    for (unsigned Skipped = 0; Skipped <= MostSkipped;) {
+    for (unsigned Skipped = 0; Skipped <= MaxSkipped;) {
       std::optional<std::size_t> Length = headLength(Buffer);
       if (!Length) {
-        if (Buffer.size() > MostHeadBytes)
+        if (Buffer.size() > MaxHeadBytes)
           break;
-        if (std::optional<AttemptEnd> End =
+        if (std::optional<AttemptOutcome> End =
                 this->Waiter.waitForBytes(Ex, Attempt))
           return *End;
         continue;
@@ -46,55 +46,57 @@
       TargetResponseInfo Info = Protocol::readResponseInfo(*Head);
       if (Info.Id == Ex.Request.Info.Id)
         return this->forwardResponse(Ex, Attempt, *Head, Info, *Body);
-      // A late answer to a request before ours: drop it, ours follows.
+      // A late response to an earlier request: discard it, ours follows.
       ++Skipped;
-      std::string Dropped;
-      if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, *Body, Dropped);
-          End != AttemptEnd::Done)
+      std::string Discarded;
+      if (AttemptOutcome End =
+              this->Waiter.readBody(Ex, Attempt, *Body, Discarded);
+          End != AttemptOutcome::Done)
         return End;
     }
     Attempt.Reason = "what came is no answer";
-    return AttemptEnd::Broken;
+    return AttemptOutcome::Broken;
   }
 
 private:
-  /// A target that takes no more for now.
-  static constexpr Millis FullTime{300};
-  /// A target that is no head of a group, against what the registry says: a VM
-  /// that started again behind a cut from the registry is listed as before
-  /// until the cut ends, or three heartbeats passed. Asked again each 0.3 s,
-  /// such heads used up the second sends of all others. What the registry shows
-  /// anew ends it (RegistryFollower).
-  static constexpr Millis MistakenTime{3600};
-  static constexpr std::size_t MostHeadBytes = 64 << 10;
-  /// Late answers to requests before ours that are skipped on a connection.
-  static constexpr unsigned MostSkipped = 3;
-
-  AttemptEnd forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
-                             const Poco::Net::HTTPResponse &Head,
-                             const TargetResponseInfo &Info,
-                             BodyDecoder &Body) {
+  /// For how long a target that declined a request is avoided.
+  static constexpr Millis DeclinedDuration{300};
+  /// The same for a target that is not what the registry says. A VM that
+  /// restarted while cut off from the registry stays listed for up to three
+  /// heartbeats, and retries at it would use up the retry limit. A change of
+  /// its registry entry ends this early (RegistryFollower).
+  static constexpr Millis WrongTargetDuration{3600};
+  static constexpr std::size_t MaxHeadBytes = 64 << 10;
+  /// Late responses to earlier requests that are skipped on a connection.
+  static constexpr unsigned MaxSkipped = 3;
+
+  AttemptOutcome forwardResponse(RelayExchange &Ex, RelayAttempt &Attempt,
+                                 const Poco::Net::HTTPResponse &Head,
+                                 const TargetResponseInfo &Info,
+                                 BodyDecoder &Body) {
     int Status = Head.getStatus();
     if (Info.NotRun) {
       std::string Unused;
-      if (this->Waiter.readBody(Ex, Attempt, Body, Unused) == AttemptEnd::Done)
-        this->keepConnection(Ex, Attempt, Head, Info, Body);
+      if (this->Waiter.readBody(Ex, Attempt, Body, Unused) ==
+          AttemptOutcome::Done)
+        this->returnConnection(Ex, Attempt, Head, Info, Body);
       Attempt.Reason = "not taken, status " + std::to_string(Status);
       this->Log.suspectTarget(Attempt.To.Target->incarnation(),
-                              Info.WrongTarget ? MistakenTime : FullTime,
+                              Info.WrongTarget ? WrongTargetDuration
+                                               : DeclinedDuration,
                               Attempt.Reason, Ex.Request.Info.Id);
-      return AttemptEnd::Refused;
+      return AttemptOutcome::Refused;
     }
     this->recordFirstByte(Ex, Attempt);
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onAnswerHead(Attempt.To.Target->incarnation(),
-                               !Head.getKeepAlive());
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onResponseHead(Attempt.To.Target->incarnation(),
+                           !Head.getKeepAlive());
     });
     bool Success = Status >= 200 && Status < 300;
     Attempt.Succeeded = Success;
     if (Success && (!Info.Signed || Head.has("Content-Encoding"))) {
       Attempt.Reason = "a success that is not the target's own answer";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     if (Success && Ex.Request.Route->Kind == RouteKind::Stream &&
         Head.getContentType().rfind("text/event-stream", 0) == 0)
@@ -102,67 +104,71 @@
     return this->forwardWhole(Ex, Attempt, Head, Info, Body);
   }
 
-  AttemptEnd forwardWhole(RelayExchange &Ex, RelayAttempt &Attempt,
-                          const Poco::Net::HTTPResponse &Head,
-                          const TargetResponseInfo &Info, BodyDecoder &Body) {
+  AttemptOutcome forwardWhole(RelayExchange &Ex, RelayAttempt &Attempt,
+                              const Poco::Net::HTTPResponse &Head,
+                              const TargetResponseInfo &Info,
+                              BodyDecoder &Body) {
     std::string Bytes;
-    if (AttemptEnd End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
-        End != AttemptEnd::Done)
+    if (AttemptOutcome End = this->Waiter.readBody(Ex, Attempt, Body, Bytes);
+        End != AttemptOutcome::Done)
       return End;
-    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (Ex.Response.hasStarted()) {
       Attempt.Reason = "status " + std::to_string(Head.getStatus()) +
                        " where a stream was to go on";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
     if (Head.getStatus() >= 500 && Ex.Request.Route->mayRepeat()) {
       Attempt.Reason =
           "the target failed, status " + std::to_string(Head.getStatus());
       Ex.Progress.Failure = Head;
       Ex.Progress.FailureBody = std::move(Bytes);
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
-    return Ex.deliver(Head, Bytes) ? AttemptEnd::Done : AttemptEnd::CallerGone;
+    return Ex.deliver(Head, Bytes) ? AttemptOutcome::Done
+                                   : AttemptOutcome::CallerGone;
   }
 
-  /// Passes whole events on as they come, from where the caller is.
-  AttemptEnd forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
-                           const Poco::Net::HTTPResponse &Head,
-                           const TargetResponseInfo &Info, BodyDecoder &Body) {
+  /// Forwards whole events as they arrive, starting after the last event that
+  /// the caller has.
+  AttemptOutcome forwardStream(RelayExchange &Ex, RelayAttempt &Attempt,
+                               const Poco::Net::HTTPResponse &Head,
+                               const TargetResponseInfo &Info,
+                               BodyDecoder &Body) {
     std::string Payload;
     bool FirstEvent = true;
     while (true) {
       Body.feed(Attempt.Connection->buffer(), Payload);
       std::string Ready;
-      bool InOrder = takeEvents(Ex, Payload, FirstEvent, Ready);
+      bool InOrder = extractEvents(Ex, Payload, FirstEvent, Ready);
       if (!Ready.empty())
-        this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-          TargetStats.onProgress(Attempt.To.Target->incarnation(),
-                                 Attempt.LastByte);
+        this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+          Stats.onProgress(Attempt.To.Target->incarnation(), Attempt.LastByte);
         });
-      // What came in order counts as had by the caller: it goes out first.
+      // LastEvent already includes these events, so they are sent even if the
+      // next one is out of order.
       if (!forwardEvents(Ex, Head, Ready))
-        return AttemptEnd::CallerGone;
+        return AttemptOutcome::CallerGone;
       if (!InOrder) {
         Attempt.Reason = "an event is out of order";
-        return AttemptEnd::Broken;
+        return AttemptOutcome::Broken;
       }
       if (Body.isDone())
         return this->endStream(Ex, Attempt, Head, Info, Body, Payload);
       if (Body.isMalformed()) {
         Attempt.Reason = "the stream's framing is damaged";
-        return AttemptEnd::Broken;
+        return AttemptOutcome::Broken;
       }
-      if (std::optional<AttemptEnd> End =
+      if (std::optional<AttemptOutcome> End =
               this->Waiter.waitForBody(Ex, Attempt, Body))
         return *End;
     }
   }
 
-  /// Moves the whole events of \p Payload to \p Ready; false where one is out
-  /// of order.
-  static bool takeEvents(RelayExchange &Ex, std::string &Payload,
-                         bool &FirstEvent, std::string &Ready) {
+  /// Moves the whole events of \p Payload to \p Ready. Returns false if one is
+  /// out of order.
+  static bool extractEvents(RelayExchange &Ex, std::string &Payload,
+                            bool &FirstEvent, std::string &Ready) {
     while (std::optional<StreamEvent> Event = takeEvent(Payload)) {
       if (!isInOrder(Ex, *Event, FirstEvent))
         return false;
@@ -178,11 +184,13 @@
                         bool First) {
     if (!Event.Id || !Ex.Progress.LastEvent)
       return true;
-    // A resumed stream has to go on right behind the last event.
+    // A resumed stream has to continue directly after the last event.
     return First ? *Event.Id == *Ex.Progress.LastEvent + 1
                  : *Event.Id > *Ex.Progress.LastEvent;
   }
 
+  /// Sends events to the caller, after the head if they are the first. Returns
+  /// false if the caller has left.
   static bool forwardEvents(RelayExchange &Ex,
                             const Poco::Net::HTTPResponse &Head,
                             const std::string &Ready) {
@@ -197,34 +205,40 @@
     return Ex.Response.sendChunk(Ready, Ex.writeUntil()) == IoStatus::Ok;
   }
 
-  AttemptEnd endStream(RelayExchange &Ex, RelayAttempt &Attempt,
-                       const Poco::Net::HTTPResponse &Head,
-                       const TargetResponseInfo &Info, const BodyDecoder &Body,
-                       const std::string &Rest) {
-    if (!Rest.empty()) {
+  /// Ends the response after the last event. \p Remainder holds the bytes that
+  /// are no whole event.
+  AttemptOutcome endStream(RelayExchange &Ex, RelayAttempt &Attempt,
+                           const Poco::Net::HTTPResponse &Head,
+                           const TargetResponseInfo &Info,
+                           const BodyDecoder &Body,
+                           const std::string &Remainder) {
+    if (!Remainder.empty()) {
       Attempt.Reason = "the stream ends within an event";
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Broken;
     }
-    this->keepConnection(Ex, Attempt, Head, Info, Body);
+    this->returnConnection(Ex, Attempt, Head, Info, Body);
     if (!Ex.Response.hasStarted())
-      return Ex.deliver(Head, "") ? AttemptEnd::Done : AttemptEnd::CallerGone;
+      return Ex.deliver(Head, "") ? AttemptOutcome::Done
+                                  : AttemptOutcome::CallerGone;
     return Ex.Response.endStream(Ex.writeUntil()) == IoStatus::Ok
-               ? AttemptEnd::Done
-               : AttemptEnd::CallerGone;
+               ? AttemptOutcome::Done
+               : AttemptOutcome::CallerGone;
   }
 
-  void keepConnection(const RelayExchange &Ex, RelayAttempt &Attempt,
-                      const Poco::Net::HTTPResponse &Head,
-                      const TargetResponseInfo &Info, const BodyDecoder &Body) {
+  /// Returns the connection to the pool if it can carry another request.
+  void returnConnection(const RelayExchange &Ex, RelayAttempt &Attempt,
+                        const Poco::Net::HTTPResponse &Head,
+                        const TargetResponseInfo &Info,
+                        const BodyDecoder &Body) {
     if (!Head.getKeepAlive() || Body.kind() == Framing::UntilClose)
       return;
     const VmIncarnation Target = Attempt.To.Target->incarnation();
     const ServiceSpec *Spec = Ex.Request.Config->service(Ex.Request.Service);
-    unsigned Most = keptConnections(Spec ? Spec->MaxConnections : 1,
-                                    this->Board.perNodeShare(),
-                                    this->Board.Config.Node, Target.Id);
+    unsigned Max = idleConnectionLimit(Spec ? Spec->MaxConnections : 1,
+                                       this->Board.perNodeShare(),
+                                       this->Board.Config.Node, Target.Id);
     this->Pool.put(Target, std::move(*Attempt.Connection),
-                   Info.KeepAlive.value_or(Millis(0)), Most,
+                   Info.KeepAlive.value_or(Millis(0)), Max,
                    SystemClock{}.now());
     Attempt.Connection.reset();
   }
@@ -235,10 +249,9 @@
     if (!Ex.Progress.FirstByte)
       Ex.Progress.FirstByte =
           std::chrono::duration_cast<Millis>(Now - Ex.Request.ArrivedAt);
-    this->Board.TargetStats.write([&](VitalsTable &TargetStats) {
-      TargetStats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
-                              static_cast<double>(Ex.Request.Info.PromptTokens),
-                              Now);
+    this->Board.TargetStats.write([&](TargetStatsTable &Stats) {
+      Stats.onFirstByte(Attempt.To.Target->incarnation(), Attempt.SentAt,
+                        static_cast<double>(Ex.Request.Info.PromptTokens), Now);
     });
     this->Board.Counters.observe(Timer::FirstToken, Now - Ex.Request.ArrivedAt);
   }
--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -11,22 +11,24 @@
 namespace {
 
 /// Orders the candidates differently for each slot, so that controllers that
-/// plan at the same time seldom want the same VM.
-void shuffleFor(std::vector<PlanVm> &Rows, const SlotKey &Place) {
+/// plan concurrently rarely choose the same VM.
+void shuffleFor(std::vector<PlanVm> &Candidates, const SlotKey &Place) {
   std::uint64_t Seed =
       mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
-  std::sort(
-      Rows.begin(), Rows.end(), [&](const PlanVm &Left, const PlanVm &Right) {
-        return hashText(Left.Vm.Text, Seed) < hashText(Right.Vm.Text, Seed);
-      });
+  std::sort(Candidates.begin(), Candidates.end(),
+            [&](const PlanVm &Left, const PlanVm &Right) {
+              return hashText(Left.Vm.Text, Seed) <
+                     hashText(Right.Vm.Text, Seed);
+            });
 }
 
-/// The domain that \p Need VMs fill best: least room left over, so that large
-/// gaps stay whole for others. The slot's hash breaks ties.
+/// Returns the domain that \p Need VMs fit best: the one with the fewest free
+/// VMs left over, to avoid fragmentation. Ties are broken by the hash of the
+/// slot.
 std::optional<DomainId> chooseDomain(const PlanPool &Pool, std::size_t Need,
                                      const SlotKey &Place, bool FirstFit) {
   std::optional<DomainId> Best;
-  std::size_t BestLeft = 0;
+  std::size_t BestRest = 0;
   std::uint64_t BestTie = 0;
   std::uint64_t Seed =
       mixHash(hashText(Place.Deployment.Text), Place.Index.Value);
@@ -36,11 +38,11 @@
       continue;
     if (FirstFit)
       return Domain;
-    std::size_t Left = (Room - Need) % Need;
+    std::size_t Rest = (Room - Need) % Need;
     std::uint64_t Tie = hashText(Domain.Text, Seed);
-    if (!Best || Left < BestLeft || (Left == BestLeft && Tie < BestTie)) {
+    if (!Best || Rest < BestRest || (Rest == BestRest && Tie < BestTie)) {
       Best = Domain;
-      BestLeft = Left;
+      BestRest = Rest;
       BestTie = Tie;
     }
   }
@@ -50,24 +52,24 @@
 } // namespace
 
 PlanPool::PlanPool(std::vector<PlanVm> Source) {
-  for (PlanVm &Row : Source) {
-    if (Row.Usable && Row.Group == Fence())
-      this->Free[Row.Domain].push_back(Row.Vm);
-    VmId Vm = Row.Vm;
-    this->Rows.emplace(std::move(Vm), std::move(Row));
+  for (PlanVm &Candidate : Source) {
+    if (Candidate.Usable && Candidate.Group == Fence())
+      this->Free[Candidate.Domain].push_back(Candidate.Vm);
+    VmId Vm = Candidate.Vm;
+    this->Vms.emplace(std::move(Vm), std::move(Candidate));
   }
 }
 
 const PlanVm *PlanPool::find(const VmId &Vm) const {
-  auto At = this->Rows.find(Vm);
-  return At == this->Rows.end() ? nullptr : &At->second;
+  auto At = this->Vms.find(Vm);
+  return At == this->Vms.end() ? nullptr : &At->second;
 }
 
 void PlanPool::take(const VmId &Vm) {
-  const PlanVm *Row = this->find(Vm);
-  if (!Row)
+  const PlanVm *Candidate = this->find(Vm);
+  if (!Candidate)
     return;
-  if (auto At = this->Free.find(Row->Domain); At != this->Free.end()) {
+  if (auto At = this->Free.find(Candidate->Domain); At != this->Free.end()) {
     std::erase(At->second, Vm);
     if (At->second.empty())
       this->Free.erase(At);
@@ -78,7 +80,7 @@
   std::vector<PlanVm> Found;
   if (auto At = this->Free.find(Domain); At != this->Free.end())
     for (const VmId &Vm : At->second)
-      Found.push_back(this->Rows.at(Vm));
+      Found.push_back(this->Vms.at(Vm));
   return Found;
 }
 
@@ -99,41 +101,43 @@
                                  RepairPolicy Policy, bool Release) {
   std::size_t Need = Spec.VmsPerReplica;
   Proposal Plan{Place, Present ? Present->Id : Fence(), DomainId(), {}};
-  // 1. Who of the present group may stay?
-  std::vector<PlanVm> Stay;
+  // 1. Find the usable members of the present group.
+  std::vector<PlanVm> Remaining;
   if (Present)
     for (const VmId &Vm : Present->Vms)
-      if (const PlanVm *Row = Pool.find(Vm); Row && Row->Usable)
-        Stay.push_back(*Row);
-  if (Present && Stay.size() == Need && Present->Vms.size() == Need)
+      if (const PlanVm *Candidate = Pool.find(Vm);
+          Candidate && Candidate->Usable)
+        Remaining.push_back(*Candidate);
+  if (Present && Remaining.size() == Need && Present->Vms.size() == Need)
     return std::nullopt;
-  // 2. Fill up in the same domain, keeping what is loaded.
-  if (Present && Policy == RepairPolicy::KeepMembers && !Stay.empty() &&
-      Pool.freeCount(Present->Domain) + Stay.size() >= Need) {
+  // 2. Complete the group within its domain, where members have the model
+  // loaded.
+  if (Present && Policy == RepairPolicy::KeepMembers && !Remaining.empty() &&
+      Pool.freeCount(Present->Domain) + Remaining.size() >= Need) {
     std::vector<PlanVm> Spares = Pool.freeIn(Present->Domain);
     shuffleFor(Spares, Place);
-    if (Stay.size() > Need)
-      Stay.resize(Need);
+    if (Remaining.size() > Need)
+      Remaining.resize(Need);
     Plan.Domain = Present->Domain;
-    Plan.Vms = Stay;
-    for (const PlanVm &Row : Spares)
+    Plan.Vms = Remaining;
+    for (const PlanVm &Candidate : Spares)
       if (Plan.Vms.size() < Need)
-        Plan.Vms.push_back(Row);
+        Plan.Vms.push_back(Candidate);
   }
-  // 3. Otherwise a domain with room for all.
+  // 3. Otherwise choose a domain with room for the whole group.
   if (Plan.Vms.empty())
     if (auto Domain =
             chooseDomain(Pool, Need, Place, Policy == RepairPolicy::Naive)) {
-      std::vector<PlanVm> Rows = Pool.freeIn(*Domain);
-      shuffleFor(Rows, Place);
-      Rows.resize(Need);
+      std::vector<PlanVm> Candidates = Pool.freeIn(*Domain);
+      shuffleFor(Candidates, Place);
+      Candidates.resize(Need);
       Plan.Domain = *Domain;
-      Plan.Vms = std::move(Rows);
+      Plan.Vms = std::move(Candidates);
     }
   if (Plan.Vms.empty() && !(Present && Release))
     return std::nullopt;
-  for (const PlanVm &Row : Plan.Vms)
-    Pool.take(Row.Vm);
+  for (const PlanVm &Candidate : Plan.Vms)
+    Pool.take(Candidate.Vm);
   return Plan;
 }
 
--- /dev/null
+++ b/src/policy/target_stats.cpp
@@ -0,0 +1,213 @@
+// waycove: serving models that span several VMs.
+// Copyright 2026 the waycove authors. Licensed under the Apache License,
+// Version 2.0; see LICENSE.
+
+#include "policy/target_stats.h"
+
+#include <algorithm>
+
+namespace waycove {
+
+namespace {
+
+/// Weight of the newest outcome in the smoothed failure rate.
+constexpr double FailureSmoothing = 0.125;
+/// Weight of the newest first-byte time in its smoothed value.
+constexpr double WaitSmoothing = 0.3;
+/// A first-byte time is reported to other nodes for this long.
+constexpr Millis SampleMaxAge(2000);
+/// A target becomes suspect if its failure rate exceeds the lowest rate of the
+/// other targets by this much.
+constexpr double FailureMargin = 0.25;
+/// Responses needed before a failure rate is used.
+constexpr unsigned MinResponses = 6;
+/// How long a failing target stays suspect.
+constexpr Millis FailureSuspectTime(1500);
+
+} // namespace
+
+bool TargetStats::isStalled(TimePoint Now) const {
+  return this->Responding > 0 && Now - this->LastProgress > StallTimeout;
+}
+
+std::optional<TimePoint> TargetStats::oldestWait() const {
+  auto At =
+      std::min_element(this->WaitingSince.begin(), this->WaitingSince.end());
+  return At == this->WaitingSince.end() ? std::nullopt
+                                        : std::optional<TimePoint>(*At);
+}
+
+Millis TargetStats::silence(TimePoint Now) const {
+  if (this->InFlight == 0)
+    return Millis(0);
+  TimePoint Since = this->LastProgress;
+  if (this->Responding == 0)
+    Since = std::max(Since, this->oldestWait().value_or(Since));
+  return std::chrono::duration_cast<Millis>(Now - Since);
+}
+
+void TargetStatsTable::onStart(const VmIncarnation &Target, double PromptTokens,
+                               TimePoint Now) {
+  TargetStats &Stats = this->Targets[Target];
+  ++Stats.InFlight;
+  Stats.PromptWaiting += PromptTokens;
+  Stats.WaitingSince.push_back(Now);
+}
+
+void TargetStatsTable::stopWaiting(TargetStats &Stats, TimePoint SentAt,
+                                   double PromptTokens) {
+  auto At =
+      std::find(Stats.WaitingSince.begin(), Stats.WaitingSince.end(), SentAt);
+  if (At != Stats.WaitingSince.end())
+    Stats.WaitingSince.erase(At);
+  Stats.PromptWaiting = std::max(0.0, Stats.PromptWaiting - PromptTokens);
+}
+
+void TargetStatsTable::onFirstByte(const VmIncarnation &Target,
+                                   TimePoint SentAt, double PromptTokens,
+                                   TimePoint Now) {
+  TargetStats &Stats = this->Targets[Target];
+  double Sample =
+      std::chrono::duration<double, std::milli>(Now - SentAt).count();
+  Stats.FirstByteMs =
+      Stats.FirstByteMs == 0
+          ? Sample
+          : Stats.FirstByteMs + WaitSmoothing * (Sample - Stats.FirstByteMs);
+  Stats.FirstByteAt = Now;
+  stopWaiting(Stats, SentAt, PromptTokens);
+  ++Stats.Responding;
+  Stats.LastProgress = Now;
+}
+
+void TargetStatsTable::onProgress(const VmIncarnation &Target, TimePoint Now) {
+  this->Targets[Target].LastProgress = Now;
+}
+
+void TargetStatsTable::onEnd(const VmIncarnation &Target, TimePoint SentAt,
+                             bool FirstByteSeen, double PromptTokens) {
+  TargetStats &Stats = this->Targets[Target];
+  if (Stats.InFlight > 0)
+    --Stats.InFlight;
+  if (!FirstByteSeen)
+    stopWaiting(Stats, SentAt, PromptTokens);
+  else if (Stats.Responding > 0)
+    --Stats.Responding;
+}
+
+void TargetStatsTable::onResponseHead(const VmIncarnation &Target,
+                                      bool Closes) {
+  this->Targets[Target].Closing = Closes;
+}
+
+void TargetStatsTable::onOutcome(const VmIncarnation &Target, bool Failed,
+                                 TimePoint Now) {
+  TargetStats &Stats = this->Targets[Target];
+  ++Stats.Responses;
+  Stats.FailureRate +=
+      FailureSmoothing * ((Failed ? 1.0 : 0.0) - Stats.FailureRate);
+  if (!Failed || Stats.Responses < MinResponses)
+    return;
+  // Requests that fail everywhere are no fault of the target, so compare it
+  // with the target that fails least.
+  double LowestRate = 1;
+  for (const auto &[Id, Other] : this->Targets)
+    if (Id != Target && Other.Responses >= MinResponses)
+      LowestRate = std::min(LowestRate, Other.FailureRate);
+  if (LowestRate < 1 && Stats.FailureRate > LowestRate + FailureMargin)
+    Stats.SuspectUntil = std::max(Stats.SuspectUntil, Now + FailureSuspectTime);
+}
+
+void TargetStatsTable::suspect(const VmIncarnation &Target, TimePoint Now,
+                               Millis Duration) {
+  TargetStats &Stats = this->Targets[Target];
+  Stats.SuspectUntil = std::max(Stats.SuspectUntil, Now + Duration);
+}
+
+void TargetStatsTable::onRegrouped(const VmIncarnation &Target) {
+  if (auto At = this->Targets.find(Target); At != this->Targets.end())
+    At->second.SuspectUntil = TimePoint();
+}
+
+TargetLoads TargetStatsTable::loads(TimePoint Now) const {
+  TargetLoads Loads;
+  for (const auto &[Id, Stats] : this->Targets) {
+    bool Sampled = Now - Stats.FirstByteAt < SampleMaxAge;
+    if (Stats.InFlight == 0 && !Sampled && Stats.SuspectUntil <= Now)
+      continue;
+    TargetLoad &Load = Loads[hashOf(Id)];
+    Load.InFlight = Stats.InFlight;
+    Load.Responding = Stats.Responding;
+    Load.PromptWaiting = Stats.PromptWaiting;
+    Load.SilentFor = Stats.silence(Now);
+    if (std::optional<TimePoint> Oldest = Stats.oldestWait())
+      Load.LongestWait = std::chrono::duration_cast<Millis>(Now - *Oldest);
+    Load.FirstByteMs = Sampled ? Stats.FirstByteMs : 0;
+    if (Stats.SuspectUntil > Now)
+      Load.SuspectDuration =
+          std::chrono::duration_cast<Millis>(Stats.SuspectUntil - Now);
+  }
+  return Loads;
+}
+
+void TargetStatsTable::setReports(TargetLoads Others, TimePoint Now) {
+  this->Reported = std::move(Others);
+  this->ReportedAt = Now;
+}
+
+bool TargetStatsTable::hasReports(TimePoint Now) const {
+  return !this->Reported.empty() && Now - this->ReportedAt <= ReportMaxAge;
+}
+
+const TargetLoad *TargetStatsTable::reportedLoad(const VmIncarnation &Target,
+                                                 TimePoint Now) const {
+  if (!this->hasReports(Now))
+    return nullptr;
+  auto At = this->Reported.find(hashOf(Target));
+  return At == this->Reported.end() ? nullptr : &At->second;
+}
+
+bool TargetStatsTable::isStalled(const VmIncarnation &Target,
+                                 TimePoint Now) const {
+  const TargetStats &Here = this->of(Target);
+  const TargetLoad *There = this->reportedLoad(Target, Now);
+  if (!There || There->Responding == 0)
+    return Here.isStalled(Now);
+  return There->isStalled() && (Here.Responding == 0 || Here.isStalled(Now));
+}
+
+bool TargetStatsTable::isSuspect(const VmIncarnation &Target,
+                                 TimePoint Now) const {
+  const TargetStats &Here = this->of(Target);
+  if (Here.SuspectUntil > Now || this->isStalled(Target, Now))
+    return true;
+  const TargetLoad *There = this->reportedLoad(Target, Now);
+  bool HasProgress = Here.Responding > 0 && !Here.isStalled(Now);
+  return There && Now - this->ReportedAt < There->SuspectDuration &&
+         !There->hasProgress() && !HasProgress;
+}
+
+Millis TargetStatsTable::silence(const VmIncarnation &Target,
+                                 TimePoint Now) const {
+  const TargetStats &Here = this->of(Target);
+  const TargetLoad *There = this->reportedLoad(Target, Now);
+  if (!There || There->InFlight == 0)
+    return Here.silence(Now);
+  if (Here.InFlight == 0 || (Here.Responding == 0 && There->Responding > 0))
+    return There->SilentFor;
+  return std::min(Here.silence(Now), There->SilentFor);
+}
+
+const TargetStats &TargetStatsTable::of(const VmIncarnation &Target) const {
+  static const TargetStats Unknown;
+  auto At = this->Targets.find(Target);
+  return At == this->Targets.end() ? Unknown : At->second;
+}
+
+void TargetStatsTable::forget(
+    const std::function<bool(const VmIncarnation &)> &IsListed) {
+  std::erase_if(this->Targets, [&](const auto &Entry) {
+    return Entry.second.InFlight == 0 && !IsListed(Entry.first);
+  });
+}
+
+} // namespace waycove
--- /dev/null
+++ b/src/policy/upstream_selector.cpp
@@ -0,0 +1,92 @@
+// waycove: serving models that span several VMs.
+// Copyright 2026 the waycove authors. Licensed under the Apache License,
+// Version 2.0; see LICENSE.
+
+#include "policy/upstream_selector.h"
+
+#include <algorithm>
+
+namespace waycove {
+
+namespace {
+
+/// Interval between calls of all nodes together.
+constexpr Millis TotalInterval{20};
+/// Longest interval of one node. Nodes usually learn of the recovery from
+/// others; this is for one that reaches no other node.
+constexpr Millis MaxInterval{20000};
+/// Shortest maximum interval, for recovery within a second in small sites.
+constexpr Millis SmallSiteInterval{800};
+constexpr Millis FirstNodeInterval{400};
+/// Minimum interval in small sites and for the first node of each data centre,
+/// as most failures are short.
+constexpr Millis MinInterval{100};
+
+std::size_t placeOf(const std::vector<NodeInfo> &Order, const NodeId &Node) {
+  auto At = std::find_if(Order.begin(), Order.end(), [&](const NodeInfo &Info) {
+    return Info.Node == Node;
+  });
+  return static_cast<std::size_t>(At - Order.begin());
+}
+
+} // namespace
+
+std::vector<NodeInfo> UpstreamSelector::nextCandidates(const NodeTable &Nodes,
+                                                       const NodeInfo &Me,
+                                                       TimePoint Now) const {
+  std::vector<NodeInfo> Candidates;
+  auto Add = [&](const NodeInfo &Info) {
+    if (Candidates.size() < MaxCandidates && !this->isBackedOff(Info.Node, Now))
+      Candidates.push_back(Info);
+  };
+  std::vector<NodeInfo> Order = readerOrder(Nodes, Me.DataCentre);
+  std::size_t Place = placeOf(Order, Me.Node);
+  // A node that is not listed yet reads the store itself.
+  if (Place == Order.size())
+    return Candidates;
+  std::optional<std::size_t> Assigned = upstreamPlace(Order, Place);
+  if (Assigned)
+    Add(Order[*Assigned]);
+  for (std::size_t I = 0; I < Place; ++I)
+    if (I != Assigned)
+      Add(Order[I]);
+  for (const DataCentreId &Centre : dataCentreOrder(Nodes)) {
+    if (Centre == Me.DataCentre || Candidates.size() == MaxCandidates)
+      break;
+    std::vector<NodeInfo> Others = readerOrder(Nodes, Centre);
+    for (std::size_t I = 0; I < std::min(Others.size(), CandidatesPerCentre);
+         ++I)
+      Add(Others[I]);
+  }
+  return Candidates;
+}
+
+std::vector<NodeInfo>
+UpstreamSelector::fallbackCandidates(const NodeTable &Nodes, const NodeInfo &Me,
+                                     TimePoint Now) const {
+  std::vector<NodeInfo> Others = readerOrder(Nodes, Me.DataCentre);
+  std::size_t Place = placeOf(Others, Me.Node);
+  if (Place < Others.size()) {
+    std::rotate(Others.begin(),
+                Others.begin() + static_cast<std::ptrdiff_t>(Place),
+                Others.end());
+    Others.erase(Others.begin());
+  }
+  for (const auto &[Id, Info] : Nodes)
+    if (Info.DataCentre != Me.DataCentre)
+      Others.push_back(Info);
+  std::erase_if(Others, [&](const NodeInfo &Info) {
+    return this->isBackedOff(Info.Node, Now);
+  });
+  return Others;
+}
+
+ProbeBackoff probeBackoff(std::size_t Nodes, bool IsFirst) {
+  if (IsFirst)
+    return {MinInterval, FirstNodeInterval};
+  Millis Max = std::clamp(TotalInterval * static_cast<int>(Nodes),
+                          SmallSiteInterval, MaxInterval);
+  return {Max == SmallSiteInterval ? MinInterval : Max / 2, Max};
+}
+
+} // namespace waycove
--- a/tests/unit/node_follower_test.cpp
+++ b/tests/unit/node_follower_test.cpp
@@ -207,8 +207,9 @@
   FakeDirectory Directory;
   NodeInfo Other;
   Other.Node = NodeId("other");
-  CrashRows Blamed;
-  Blamed[Content].Ends = {TargetHash(1), TargetHash(2), TargetHash(3)};
+  CrashEvidenceMap Blamed;
+  Blamed[Content].CrashedTargets = {TargetHash(1), TargetHash(2),
+                                    TargetHash(3)};
   Directory.Page.Records = {{"other", packAnnouncement({Other, Blamed})}};
   Directory.Page.IsSnapshot = true;
   NodeFollower<FakeDirectory, FakeDirectory> Follower{Board, Directory,
@@ -232,10 +233,11 @@
   Directory.Page.IsSnapshot = false;
   Follower.step();
   int Before = Directory.Announcements;
-  CrashRows Blamed;
-  Blamed[ContentHash(7)].Ends = {TargetHash(1), TargetHash(2), TargetHash(3)};
+  CrashEvidenceMap Blamed;
+  Blamed[ContentHash(7)].CrashedTargets = {TargetHash(1), TargetHash(2),
+                                           TargetHash(3)};
   Board.Crashes.write(
-      [&](CrashBlame &Rows) { Rows.take(Blamed, SystemClock{}.now()); });
+      [&](CrashBlame &Rows) { Rows.merge(Blamed, SystemClock{}.now()); });
   CHECK(eventually([&] {
     Follower.step();
     return Directory.Announcements == Before + 1;
