--- a/src/policy/centre_balance.h
+++ b/src/policy/centre_balance.h
@@ -43,10 +43,10 @@
 /// Decides which fraction of the requests a node sends to targets of its own
 /// data centre, by pool. It is 1 while these are no busier than others. It
 /// drops in proportion when targets are lost, and keeps falling while the
-/// remaining ones are busier than those of other data centres. Single nodes see
-/// too few requests to balance by their own measurements, and reports are too
-/// old to choose single targets by, so the fraction is controlled by reported
-/// averages.
+/// remaining ones are busier than those of other data centres. The load is
+/// averaged over all targets of a data centre, as this node sees it and other
+/// nodes report it: a single node sends too few requests to know the load, and
+/// reports of single targets are out of date when they arrive.
 class CentreBalance {
 public:
   /// A pool that began to send requests to other data centres, or nearly
--- a/src/policy/crash_blame.h
+++ b/src/policy/crash_blame.h
@@ -62,8 +62,8 @@
     std::vector<ContentHash> Cleared;
   };
 
-  /// Decides whether a request may be sent. Trial: once, by this node alone,
-  /// after recordTrial.
+  /// Decides whether a request may be sent. Trial: this node alone may send it
+  /// once; the caller calls recordTrial() before it sends.
   Verdict judge(ContentHash Content, TimePoint Now) const;
   /// Records that the connection to \p Target ended during a request.
   void recordLost(ContentHash Content, const VmIncarnation &Target,
@@ -104,8 +104,9 @@
   static constexpr Millis ReportDuration{1500};
   /// Crashes under a content after which it is blamed.
   static constexpr std::size_t CrashesToBlame = 3;
-  /// The same for a content that was answered before: when targets crash in
-  /// series, a frequent request is lost several times in a row.
+  /// The same for a content that was answered before. It is higher because a
+  /// frequent request is lost several times in a row if several targets crash
+  /// one after another for another reason.
   static constexpr std::size_t CrashesToBlameServed = 12;
   /// Maximum blamed contents that are persisted.
   static constexpr std::size_t MaxPersisted = 32;
--- a/src/policy/fair.h
+++ b/src/policy/fair.h
@@ -15,7 +15,7 @@
 
 /// Bounds of an admission queue.
 struct FairLimits {
-  /// Maximum running requests.
+  /// Maximum requests of this daemon that run at once.
   std::size_t Slots = 8;
   /// Maximum waiting requests of one workspace.
   std::size_t QueuePerWorkspace = 64;
@@ -36,11 +36,13 @@
   /// Expected work, in tokens.
   Tokens Cost;
   TimePoint Deadline;
-  /// Higher is served first, within the workspace only.
+  /// Higher is served first, within the workspace only. Not the scale of
+  /// HttpRoute::Priority; the two are never converted.
   unsigned Priority = 0;
 };
 
-/// Weighted fair queue over workspaces (start-time fair queueing). Work is
+/// Weighted fair queue over workspaces (start-time fair queueing). A daemon has
+/// one queue for each deployment and service. Work is
 /// counted in tokens, so that a workspace with long responses gets no more than
 /// one with many short ones. A request whose predicted wait exceeds its
 /// deadline is refused immediately, as not run, with a retry time. Not
--- a/src/policy/fold.h
+++ b/src/policy/fold.h
@@ -86,7 +86,8 @@
 
   /// Offset of the first record that is not folded yet. Never decreases.
   Offset next() const { return this->Next; }
-  /// Highest time carried by a readable record, with limited steps.
+  /// Highest time carried by a readable record; each record after the first
+  /// advances it by at most 24 hours.
   WallMs clock() const { return this->Clock; }
 
   ObjectRef object(const ObjectKey &Key) const;
@@ -119,8 +120,9 @@
 
   /// Saves the state as a checkpoint, and loads one. Loading fails, and changes
   /// nothing, if the checkpoint is damaged or older than this state. A
-  /// checkpoint of an era before \p Era is converted to \p Era: the copy that
-  /// the log was restored from contains its records.
+  /// checkpoint of an era before \p Era is converted to \p Era. Precondition:
+  /// the copy that the log was restored from contains its records, which the
+  /// caller checks (LogFollower).
   std::string save() const;
   absl::Status load(const std::string &Bytes, StoreEra Era = StoreEra());
   std::uint64_t digest() const;
--- a/src/policy/group_load.h
+++ b/src/policy/group_load.h
@@ -81,8 +81,8 @@
 double serviceLoss(const EngineSpec &Engine, const DemandTable &Demand,
                    const GroupCounts &Groups);
 /// The term of serviceLoss() for one model. The gain of one more group has to
-/// be computed from this term alone: if another model has no group, the sum is
-/// so large that the difference would be lost in rounding.
+/// be computed from this term alone: if another model has no group, its term is
+/// so large that floating-point rounding hides changes of the other terms.
 double modelLoss(const EngineSpec &Engine, const ModelSpec &Model,
                  const ModelDemand &Demand, double Groups);
 
--- a/src/policy/node_rank.h
+++ b/src/policy/node_rank.h
@@ -44,8 +44,8 @@
                                   const DataCentreId &Centre);
 /// Returns the index in \p Order of the upstream node of the one at \p Place,
 /// or nothing for the first. Each node serves a bounded number of others, more
-/// if its link is fast, so that a large data centre does not overload the first
-/// one and restarts together stay quick.
+/// if its link is fast. So the first node of a large data centre is not
+/// overloaded, and nodes that restart at the same time receive the feeds soon.
 std::optional<std::size_t> upstreamPlace(const std::vector<NodeInfo> &Order,
                                          std::size_t Place);
 /// Returns all data centres in the order in which their first nodes read
--- a/src/policy/partition_membership.h
+++ b/src/policy/partition_membership.h
@@ -30,8 +30,8 @@
   std::vector<std::pair<MemberHash, Millis>> currentAges(TimePoint Now) const;
 
 private:
-  /// Covers the renewal interval, up to four hops between nodes, and the lease
-  /// of a member.
+  /// Maximum age of a renewal that counts: longer than the renewal interval,
+  /// the time of four hops between nodes, and the lease of a member together.
   static constexpr Millis RenewalMaxAge{4000};
 
   std::map<MemberHash, TimePoint> Renewals;
--- a/src/policy/plan.h
+++ b/src/policy/plan.h
@@ -56,9 +56,10 @@
   KeepMembers,
 };
 
-/// Plans one slot. Returns nothing if its group is complete or no domain has
-/// enough free VMs. A group that cannot be completed is dissolved only if \p
-/// Release is set, that is, if its VMs are needed elsewhere.
+/// Plans one slot, for the daemon with waycove's own interface (entries on the
+/// platform use DomainPlanner). Returns nothing if its group is complete or no
+/// domain has enough free VMs. A group that cannot be completed is dissolved
+/// only if \p Release is set, that is, if its VMs are needed elsewhere.
 std::optional<Proposal> planSlot(const SlotKey &Place, const Deployment &Spec,
                                  const Group *Present, PlanPool &Pool,
                                  RepairPolicy Policy, bool Release = false);
--- a/src/policy/route.h
+++ b/src/policy/route.h
@@ -60,6 +60,7 @@
   std::vector<RingPoint> Ring;
   /// Selector of the deployment for workspaces.
   Selector Workspaces;
+  /// All selectors that the object names are defined.
   bool Resolved = false;
   std::uint64_t SlotsPerReplica = 1;
   std::uint64_t VmsPerReplica = 1;
@@ -77,7 +78,7 @@
 public:
   void onStart(VmHash Head);
   void onEnd(VmHash Head, bool Failed, TimePoint Now);
-  /// The target reported \p Queue waiting requests of other nodes.
+  /// The target reported that \p Queue requests wait there.
   void onReport(VmHash Head, double Queue, TimePoint Now);
   /// Returns the requests in flight plus the decayed reported queue.
   double loadOf(VmHash Head, TimePoint Now) const;
--- a/src/policy/routing.h
+++ b/src/policy/routing.h
@@ -46,7 +46,8 @@
   Millis Goal{0};
   /// Latency objective for the time between two events of a stream.
   Millis PauseGoal{0};
-  /// 0 is the most urgent.
+  /// 0 is the most urgent. Not the scale of FairOffer::Priority, where a higher
+  /// value is served first; the two are never converted.
   unsigned Priority = 0;
   unsigned MaxAttempts = 1;
   /// Needs no API key.
