--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -179,7 +179,7 @@
     };
     this->Pool.sweep(IsListed, SystemClock{}.now());
     this->Board.TargetStats.write(
-        [&](TargetStatsTable &Stats) { TargetStats.forget(IsListed); });
+        [&](TargetStatsTable &Stats) { Stats.forget(IsListed); });
     this->Board.Demand.write([](DemandTable &Table) {
       for (auto &[Model, Demand] : Table)
         Demand = Demand.scaled(DemandDecay);
--- a/src/entry/response_wait.cpp
+++ b/src/entry/response_wait.cpp
@@ -117,9 +117,8 @@
   Observation Observed =
       this->Board.TargetStats.read([&](const TargetStatsTable &Stats) {
         return Observation{
-            TargetStats.isStalled(Target, Now),
-            TargetStats.silence(Target, Now),
-            TargetStats.hasReports(Now) ? 0 : Stats.of(Target).FirstByteMs};
+            Stats.isStalled(Target, Now), Stats.silence(Target, Now),
+            Stats.hasReports(Now) ? 0 : Stats.of(Target).FirstByteMs};
       });
   Millis Goal = Attempt.FirstByteSeen ? Route.PauseGoal : Route.Goal;
   Millis Patience = std::max(MinPatience, 2 * Goal);
